--- a/ci/digests.sh
+++ b/ci/digests.sh
@@ -4,10 +4,21 @@
 #   digests.sh --compare BEFORE AFTER      names the runs that differ; exit status 1 if there are any
 # A change that only renames, moves, splits or types leaves every digest as it was (docs/measurements.md).
 set -euo pipefail
+compare() { # before, after
+  local list differences status=0
+  for list in "$1" "$2"; do
+    [ -s "$list" ] || { echo "digests.sh: '$list' is missing or empty" >&2; return 2; }
+  done
+  differences=$(diff <(sort "$1") <(sort "$2")) || status=$?
+  if ((status > 0)); then
+    grep '^[<>]' <<<"$differences"
+    return "$status"
+  fi
+  echo "$(wc -l <"$2") digests, all equal"
+}
 if [ "$1" = --compare ]; then
-  if diff <(sort "$2") <(sort "$3") | grep '^[<>]'; then exit 1; fi
-  echo "$(wc -l <"$3") digests, all equal"
-  exit 0
+  compare "$2" "$3"
+  exit
 fi
 simulator=$1
 find "$2" -name '*.txt' -print0 | sort -z |
