--- a/src/storage/partition.hpp
+++ b/src/storage/partition.hpp
@@ -50,19 +50,20 @@
   auto finish(const finish_request& request) -> void;
   auto read(const read_request& request, pending_reply_ptr reply) -> void;
   auto count(const count_request& request, pending_reply_ptr reply) -> void;
-  auto connection_closed(const connection_ptr& gateway) -> void;  // a gateway's connection ended
+  auto on_gateway_disconnected(const connection_ptr& gateway) -> void;  // a gateway's connection ended
 
   // The replication's messages (design 6.2). The calls throw request_error.
   auto on_join(replica_join_request request) -> task<replica_join_reply>;
   auto on_state_chunk(state_chunk chunk) -> task<void>;
   auto on_append(const connection_ptr& from, append_message message) -> void;
   auto on_acknowledgement(const replica_acknowledgement& message) -> void;
-  auto on_primary_replaying(partition_epoch epoch) -> void;  // its new primary still replays
+  auto on_replay_announcement(partition_epoch epoch) -> void;  // its new primary still replays
 
   // What the storage node finds out about connections and processes (design 6.5).
-  auto follows_on(const connection_ptr& closed) -> bool;  // forgets it; did this backup follow its primary over it?
+  auto drop_primary_connection(const connection_ptr& closed)
+      -> bool;  // forgets it; did this backup follow its primary over it?
   auto on_primary_process_gone(const std::string& node) -> void;  // that node's process is known to be dead
-  auto on_link_changed() -> void {
+  auto on_replica_connection_changed() -> void {
     log_grown_.wake();
   }  // a connection to a replica opened or closed
 
@@ -73,7 +74,7 @@
     return role_ == replica_role::primary ? 2 : role_ == replica_role::backup ? 1 : 0;
   }
   // Assigned to other nodes for long, and no call is at work in it: the storage node may wipe and delete it.
-  [[nodiscard]] auto obsolete() const -> bool;
+  [[nodiscard]] auto is_obsolete() const -> bool;
   auto wipe() -> void;
   [[nodiscard]] auto live() const -> bool {
     return role_ == replica_role::primary;
--- a/src/storage/partition_backup.cpp
+++ b/src/storage/partition_backup.cpp
@@ -33,7 +33,7 @@
   return std::max({last_contact_, created_at_, reconnected_at_});
 }
 
-auto partition::obsolete() const -> bool {
+auto partition::is_obsolete() const -> bool {
   auto assigned_elsewhere = assignment_.epoch > 0 && !assignment_.is_member_of(own_member());
   auto unused = role_ != replica_role::primary && calls_running_ == 0;
   return assigned_elsewhere && unused &&
@@ -146,13 +146,13 @@
 }
 
 // A long replay before going live is no silence: else the other backups would claim in turn.
-auto partition::on_primary_replaying(partition_epoch epoch) -> void {
+auto partition::on_replay_announcement(partition_epoch epoch) -> void {
   auto is_newest = epoch >= assignment_.epoch && epoch >= followed_.epoch;
   if (role_ != replica_role::primary && is_newest)
     last_contact_ = host_.now();
 }
 
-auto partition::follows_on(const connection_ptr& closed) -> bool {
+auto partition::drop_primary_connection(const connection_ptr& closed) -> bool {
   if (role_ != replica_role::backup || followed_.connection != closed)
     return false;
   followed_.connection.reset();
--- a/src/storage/partition_requests.cpp
+++ b/src/storage/partition_requests.cpp
@@ -316,7 +316,7 @@
   reply_when_safe(std::move(reply), count_reply{clients.size()});
 }
 
-auto partition::connection_closed(const connection_ptr& gateway) -> void {
+auto partition::on_gateway_disconnected(const connection_ptr& gateway) -> void {
   for (auto it = subscribers_.begin(); it != subscribers_.end();) {
     if (it->second.connection == gateway) {
       disconnected_[it->first] = host_.now();
--- a/src/storage/storage_node.cpp
+++ b/src/storage/storage_node.cpp
@@ -98,7 +98,7 @@
   };
   auto notify_partitions = [this] {
     for (auto& [id, held] : partitions_)
-      held->on_link_changed();
+      held->on_replica_connection_changed();
   };
   connection->on_state_change = [notify_partitions](bool /*up*/) {
     notify_partitions();
--- a/src/storage/storage_node_partitions.cpp
+++ b/src/storage/storage_node_partitions.cpp
@@ -54,7 +54,7 @@
 // Those whose replicas are all on other nodes.
 auto storage_node::remove_obsolete_partitions() -> void {
   for (auto it = partitions_.begin(); it != partitions_.end();) {
-    if (!it->second->obsolete()) {
+    if (!it->second->is_obsolete()) {
       ++it;
       continue;
     }
--- a/src/storage/storage_node_requests.cpp
+++ b/src/storage/storage_node_requests.cpp
@@ -103,7 +103,7 @@
       backup->on_append(from, decode_append_message(notification));
   } else if (of_replication == replication_operation::announce_replay) {
     if (auto* backup = find_partition(partition_of_replication(notification)))
-      backup->on_primary_replaying(decode_replay_announcement(notification).epoch);
+      backup->on_replay_announcement(decode_replay_announcement(notification).epoch);
   }
 }
 
@@ -147,8 +147,8 @@
 auto storage_node::run_command(const connection_lost& command) -> void {
   auto followed_primary = false;
   for (auto& [id, held] : partitions_) {
-    held->connection_closed(command.connection);
-    followed_primary |= held->follows_on(command.connection);
+    held->on_gateway_disconnected(command.connection);
+    followed_primary |= held->drop_primary_connection(command.connection);
   }
   if (followed_primary)
     tasks_.spawn(check_process(command.connection->peer_name));
