--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -178,7 +178,7 @@
   return out;
 }
 
-auto is_configuration(const value& command) -> bool {
+auto is_membership_command(const value& command) -> bool {
   return get_value(command, "panel").is_array();
 }
 
@@ -377,7 +377,7 @@
                 {"disk", status.disk_id}};
 }
 
-auto seal_metadata(const log_metadata& metadata) -> std::string {
+auto serialize_metadata(const log_metadata& metadata) -> std::string {
   return encode_with_checksum(object{{"format", metadata_format},
                                      {"id", metadata.disk_id},
                                      {"term", metadata.term.get()},
@@ -385,7 +385,7 @@
                                      {"founded", metadata.founded}});
 }
 
-auto unseal_metadata(std::string_view bytes) -> log_metadata {
+auto deserialize_metadata(std::string_view bytes) -> log_metadata {
   auto content = decode_with_checksum(bytes);
   if (get_int(content, "format") != metadata_format)
     throw request_error(errc::damaged, "the ledger's format is not 1");
@@ -393,23 +393,23 @@
           get_bool(content, "founded")};
 }
 
-auto seal_entry(term_number term, const value& command) -> std::string {
+auto serialize_entry(term_number term, const value& command) -> std::string {
   return encode_with_checksum(object{{"t", term.get()}, {"d", command}});
 }
 
-auto unseal_entry(std::string_view bytes) -> entry_message {
+auto deserialize_entry(std::string_view bytes) -> entry_message {
   auto record = decode_with_checksum(bytes);
   return {get_int(record, "t"), get_value(record, "d")};
 }
 
-auto seal_snapshot(const snapshot& image) -> std::string {
+auto serialize_snapshot(const snapshot& image) -> std::string {
   auto out =
       object{{"idx", image.index.get()}, {"term", image.term.get()}, {"realm", image.log_id}, {"state", image.state}};
   put_membership(out, image.members);
   return encode_with_checksum(out);
 }
 
-auto unseal_snapshot(std::string_view bytes) -> snapshot {
+auto deserialize_snapshot(std::string_view bytes) -> snapshot {
   auto content = decode_with_checksum(bytes);
   auto reader = field_reader(content, "snapshot");
   auto members = decode_membership(content);
--- a/src/raft/codec.hpp
+++ b/src/raft/codec.hpp
@@ -48,20 +48,20 @@
 // where the voters are malformed; `is_configuration` only tells the two apart, for an entry that was checked before.
 auto encode(const membership_command& command) -> value;
 auto decode_membership_command(const value& command) -> std::optional<membership_command>;
-auto is_configuration(const value& command) -> bool;
+auto is_membership_command(const value& command) -> bool;
 auto to_value(const std::vector<voter>& voters) -> value;
 
 // Metadata and entries as they are stored, with a checksum each. Unsealing throws `decode_error` on what is altered or
 // lacks a field, and `errc::damaged` on metadata of another format.
-auto seal_metadata(const log_metadata& metadata) -> std::string;
-auto unseal_metadata(std::string_view bytes) -> log_metadata;
-auto seal_entry(term_number term, const value& command) -> std::string;
-auto unseal_entry(std::string_view bytes) -> entry_message;
+auto serialize_metadata(const log_metadata& metadata) -> std::string;
+auto deserialize_metadata(std::string_view bytes) -> log_metadata;
+auto serialize_entry(term_number term, const value& command) -> std::string;
+auto deserialize_entry(std::string_view bytes) -> entry_message;
 
 // A snapshot as it is stored and sent. Unsealing throws `decode_error` on what is truncated or altered, and
 // `errc::malformed` on what is whole and is no snapshot.
-auto seal_snapshot(const snapshot& image) -> std::string;
-auto unseal_snapshot(std::string_view bytes) -> snapshot;
+auto serialize_snapshot(const snapshot& image) -> std::string;
+auto deserialize_snapshot(std::string_view bytes) -> snapshot;
 auto checksum_of(std::string_view bytes) -> std::int64_t;
 
 }  // namespace reachridge
--- a/src/raft/codec_test.cpp
+++ b/src/raft/codec_test.cpp
@@ -73,12 +73,12 @@
   auto members = membership{{{"a:1", "x"}}, {}};
   auto named = encode(membership_command{members, "log"});
   STRCMP_EQUAL(R"({"panel":[{"addr":"a:1","id":"x"}],"realm":"log"})", to_json(named).c_str());
-  CHECK(is_configuration(named));
+  CHECK(is_membership_command(named));
   CHECK(decode_membership_command(named)->members == members);
   CHECK(decode_membership_command(named)->log_id == "log");
   CHECK_FALSE(decode_membership_command(encode(membership_command{members, {}}))->log_id.has_value());
   auto opaque = value(object{{"k", "leave"}});
-  CHECK_FALSE(is_configuration(opaque));
+  CHECK_FALSE(is_membership_command(opaque));
   CHECK_FALSE(decode_membership_command(opaque).has_value());
 }
 TEST(raft_codec, numbers_out_of_range_are_named) {
@@ -131,14 +131,14 @@
   refuses("malformed: install_snapshot: to is empty", refusal(decode_snapshot_chunk, with(part, "to", "")));
 }
 TEST(raft_codec, a_truncated_or_altered_snapshot_is_refused) {
-  auto bytes = seal_snapshot({5, 2, {{{"a:1", "x"}}, {}}, "fleet", value(object{{"k", 1}})});
-  CHECK(unseal_snapshot(bytes).index == 5);
-  CHECK_THROWS(decode_error, unseal_snapshot(std::string_view(bytes).substr(0, bytes.size() - 1)));
+  auto bytes = serialize_snapshot({5, 2, {{{"a:1", "x"}}, {}}, "fleet", value(object{{"k", 1}})});
+  CHECK(deserialize_snapshot(bytes).index == 5);
+  CHECK_THROWS(decode_error, deserialize_snapshot(std::string_view(bytes).substr(0, bytes.size() - 1)));
   auto altered = bytes;
   altered[bytes.size() / 2] ^= 1;
-  CHECK_THROWS(decode_error, unseal_snapshot(altered));
+  CHECK_THROWS(decode_error, deserialize_snapshot(altered));
   CHECK_THROWS(request_error,
-               unseal_snapshot(encode_with_checksum(object{{"idx", 5}, {"term", 2}, {"state", nullptr}})));
+               deserialize_snapshot(encode_with_checksum(object{{"idx", 5}, {"term", 2}, {"state", nullptr}})));
 }
 
 TEST_GROUP(raft_membership){};
--- a/src/raft/consensus.cpp
+++ b/src/raft/consensus.cpp
@@ -124,7 +124,7 @@
   auto at = applied_index_ + 1;
   auto entry_term = log_.entry_at(at).term;
   auto command = decode_cbor(log_.entry_at(at).command);
-  auto result = is_configuration(command) ? encode(acknowledgement{}) : state_machine_.apply(at.get(), command);
+  auto result = is_membership_command(command) ? encode(acknowledgement{}) : state_machine_.apply(at.get(), command);
   applied_index_ = at;
   // Settled: it speaks for the majority now.
   if (is_leader() && at == first_own_index_ && state_machine_.leader_changed)
--- a/src/raft/follower_progress.cpp
+++ b/src/raft/follower_progress.cpp
@@ -6,15 +6,15 @@
 
 auto follower_progress::note_answer(const voter& follower, const disk_identifier& answering_disk,
                                     monotonic_time sent_at) -> bool {
-  other_disk = answering_disk != follower.disk_id;
-  if (other_disk)
+  different_disk_answered = answering_disk != follower.disk_id;
+  if (different_disk_answered)
     return false;
   last_contact = std::max(last_contact, sent_at);
   return true;
 }
 
-auto follower_progress::take_append_reply(const voter& follower, const append_reply& reply, log_index last_index,
-                                          monotonic_time sent_at) -> bool {
+auto follower_progress::handle_append_reply(const voter& follower, const append_reply& reply, log_index last_index,
+                                            monotonic_time sent_at) -> bool {
   if (!note_answer(follower, reply.disk_id, sent_at))
     return false;
   if (reply.success) {
@@ -28,8 +28,8 @@
   return true;
 }
 
-auto follower_progress::take_snapshot_reply(const voter& follower, const snapshot_reply& reply, monotonic_time sent_at)
-    -> bool {
+auto follower_progress::handle_snapshot_reply(const voter& follower, const snapshot_reply& reply,
+                                              monotonic_time sent_at) -> bool {
   return note_answer(follower, reply.disk_id, sent_at);
 }
 
@@ -43,10 +43,10 @@
   transfer.reset();
 }
 
-auto follower_progress::adapt_window(monotonic_time took, monotonic_time election_timeout, std::size_t least_window)
+auto follower_progress::adapt_window(monotonic_time took, monotonic_time election_timeout, std::size_t min_window_bytes)
     -> void {
   if (took > election_timeout * 3 / 4)
-    window = std::max(window / 2, least_window);
+    window = std::max(window / 2, min_window_bytes);
   else if (took < election_timeout / 2)
     window = std::min(window * 2, max_window_bytes);
 }
--- a/src/raft/follower_progress.hpp
+++ b/src/raft/follower_progress.hpp
@@ -31,24 +31,24 @@
   log_index announced_commit_index = -1;
   monotonic_time last_contact = -never;  // when the newest request that it answered was sent
   monotonic_time added_at = 0;
-  std::size_t window = 0;           // bytes sent at once; follows the link's speed
-  bool in_flight = false;           // entries or a part of a snapshot wait for their answer
-  bool heartbeats_running = false;  // a task sends heartbeats beside them
-  bool other_disk = false;          // another disk answers at its address
+  std::size_t window = 0;                // bytes sent at once; follows the link's speed
+  bool in_flight = false;                // entries or a part of a snapshot wait for their answer
+  bool heartbeats_running = false;       // a task sends heartbeats beside them
+  bool different_disk_answered = false;  // another disk answers at its address
   std::shared_ptr<const snapshot_image> transfer;
   std::int64_t transfer_offset = 0;  // of the transfer's next part
 
   // Takes the answer to entries or to a heartbeat sent at `sent_at`; `last_index` is the last of the leader's log.
   // False: another disk answered.
-  auto take_append_reply(const voter& follower, const append_reply& reply, log_index last_index, monotonic_time sent_at)
-      -> bool;
+  auto handle_append_reply(const voter& follower, const append_reply& reply, log_index last_index,
+                           monotonic_time sent_at) -> bool;
   // Takes the answer to a part of `image` sent at `sent_at`. False: another disk answered.
-  auto take_snapshot_reply(const voter& follower, const snapshot_reply& reply, monotonic_time sent_at) -> bool;
+  auto handle_snapshot_reply(const voter& follower, const snapshot_reply& reply, monotonic_time sent_at) -> bool;
   // Goes on behind the part that was answered, or behind the whole snapshot once it is installed.
   auto advance_transfer(const snapshot_image& image, const snapshot_reply& reply) -> void;
   // An answer took `took`: what is sent at once shrinks on a slow link, so that heartbeats are not held up behind it,
   // and grows on a fast one.
-  auto adapt_window(monotonic_time took, monotonic_time election_timeout, std::size_t least_window) -> void;
+  auto adapt_window(monotonic_time took, monotonic_time election_timeout, std::size_t min_window_bytes) -> void;
 
  private:
   auto note_answer(const voter& follower, const disk_identifier& answering_disk, monotonic_time sent_at) -> bool;
--- a/src/raft/follower_progress_test.cpp
+++ b/src/raft/follower_progress_test.cpp
@@ -19,30 +19,30 @@
 TEST_GROUP(raft_progress){};
 TEST(raft_progress, an_acknowledgement_never_takes_the_match_index_back) {
   auto progress = follower_progress();
-  CHECK(progress.take_append_reply(follower, {1, true, "y", 8, 0}, 10, second));
-  CHECK(progress.take_append_reply(follower, {1, true, "y", 5, 0}, 10, second / 2));
+  CHECK(progress.handle_append_reply(follower, {1, true, "y", 8, 0}, 10, second));
+  CHECK(progress.handle_append_reply(follower, {1, true, "y", 5, 0}, 10, second / 2));
   CHECK(progress.match_index == 8);
   CHECK(progress.next_index == 6);
   CHECK(progress.last_contact == second);
   // Nor does it reach beyond the leader's log.
-  CHECK(progress.take_append_reply(follower, {1, true, "y", 20, 0}, 10, second));
+  CHECK(progress.handle_append_reply(follower, {1, true, "y", 20, 0}, 10, second));
   CHECK(progress.match_index == 10);
 }
 TEST(raft_progress, a_refusal_moves_the_next_index_to_the_hint) {
   auto progress = follower_progress();
   progress.next_index = 9;
-  CHECK(progress.take_append_reply(follower, {1, false, "y", 0, 4}, 10, second));
+  CHECK(progress.handle_append_reply(follower, {1, false, "y", 0, 4}, 10, second));
   CHECK(progress.next_index == 4);
-  CHECK(progress.take_append_reply(follower, {1, false, "y", 0, 0}, 10, second));
+  CHECK(progress.handle_append_reply(follower, {1, false, "y", 0, 0}, 10, second));
   CHECK(progress.next_index == 3);
-  CHECK(progress.take_append_reply(follower, {1, false, "y", 0, 99}, 10, second));
+  CHECK(progress.handle_append_reply(follower, {1, false, "y", 0, 99}, 10, second));
   CHECK(progress.next_index == 11);
 }
 TEST(raft_progress, another_disk_counts_for_nothing) {
   auto progress = follower_progress();
-  CHECK_FALSE(progress.take_append_reply(follower, {1, true, "z", 8, 0}, 10, second));
-  CHECK_FALSE(progress.take_snapshot_reply(follower, {1, true, "z", 0, true}, second));
-  CHECK(progress.other_disk);
+  CHECK_FALSE(progress.handle_append_reply(follower, {1, true, "z", 8, 0}, 10, second));
+  CHECK_FALSE(progress.handle_snapshot_reply(follower, {1, true, "z", 0, true}, second));
+  CHECK(progress.different_disk_answered);
   CHECK(progress.match_index == 0);
   CHECK(progress.last_contact == -never);
 }
--- a/src/raft/log_storage.cpp
+++ b/src/raft/log_storage.cpp
@@ -42,7 +42,7 @@
     save_metadata();
     return {};
   }
-  auto read = unseal_metadata(*metadata);
+  auto read = deserialize_metadata(*metadata);
   disk_id = read.disk_id;
   term = read.term;
   voted_for = read.voted_for;
@@ -57,7 +57,7 @@
   auto bytes = disk_.get(snapshot_key);
   if (!bytes)
     return {};
-  auto image = unseal_snapshot(*bytes);
+  auto image = deserialize_snapshot(*bytes);
   snapshot_bytes_ = bytes->size();
   base_index_ = snapshot_index_ = image.index;
   base_term_ = image.term;
@@ -73,7 +73,7 @@
       return stale.push_back(key);
     if (at != last() + 1)
       throw request_error(errc::damaged, "the ledger lacks entry " + to_string(last() + 1));
-    auto entry = unseal_entry(bytes);
+    auto entry = deserialize_entry(bytes);
     push(entry.term, encode_cbor(entry.command));
     record_configuration(at, entry.command);
   });
@@ -83,7 +83,7 @@
 }
 
 auto log_storage::save_metadata() -> void {
-  disk_.put(metadata_key, seal_metadata({disk_id, term, voted_for, founded}));
+  disk_.put(metadata_key, serialize_metadata({disk_id, term, voted_for, founded}));
 }
 
 auto log_storage::term_at(log_index at) const -> term_number {
@@ -129,7 +129,7 @@
 
 auto log_storage::append(term_number entry_term, const value& command) -> log_index {
   auto at = last() + 1;
-  disk_.put(entry_key(at), seal_entry(entry_term, command));
+  disk_.put(entry_key(at), serialize_entry(entry_term, command));
   push(entry_term, encode_cbor(command));
   record_configuration(at, command);
   return at;
@@ -144,12 +144,12 @@
   durable_index = std::min(durable_index, last());
 }
 
-auto log_storage::wants_snapshot(log_index applied) const -> bool {
+auto log_storage::snapshot_due(log_index applied) const -> bool {
   if (applied <= snapshot_index_)
     return false;
   auto behind = bytes_between(snapshot_index_, applied);
-  return behind >= std::max(compaction_bytes, snapshot_bytes_) ||
-         applied - snapshot_index_ >= limits_.compaction_entries;
+  return behind >= std::max(compaction_threshold_bytes, snapshot_bytes_) ||
+         applied - snapshot_index_ >= limits_.compaction_threshold_entries;
 }
 
 // From the last to the first: what a loss of power leaves has no hole.
@@ -161,7 +161,7 @@
 // The snapshot is written before the entries that it replaces are erased. In memory entries go one by one from the
 // front, until what is left is within the bounds.
 auto log_storage::compact(const snapshot& image, log_index needed) -> void {
-  auto bytes = seal_snapshot(image);
+  auto bytes = serialize_snapshot(image);
   snapshot_bytes_ = bytes.size();
   disk_.put(snapshot_key, std::move(bytes));
   erase_on_disk(snapshot_index_ + 1, image.index);
@@ -171,7 +171,7 @@
     if (covered_bytes > max_retained_bytes)
       return false;
     return base_index_ >= needed ||
-           (covered_bytes <= tail_bytes && snapshot_index_ - base_index_ <= limits_.tail_entries);
+           (covered_bytes <= max_tail_bytes && snapshot_index_ - base_index_ <= limits_.max_tail_entries);
   };
   while (base_index_ < snapshot_index_ && !keep())
     drop_front(base_index_ + 1);
@@ -217,7 +217,7 @@
   auto first = snapshot{0, 0, {std::move(voters), {}}, {}, nullptr};
   configurations_ = {{0, {first.members, {}}}};
   founded = true;
-  disk_.put(snapshot_key, seal_snapshot(first));
+  disk_.put(snapshot_key, serialize_snapshot(first));
   save_metadata();
 }
 
--- a/src/raft/log_storage.hpp
+++ b/src/raft/log_storage.hpp
@@ -16,16 +16,17 @@
 namespace reachridge {
 
 // Bounds, in bytes unless said otherwise.
-constexpr auto compaction_bytes = std::size_t{2} << 20;    // entries behind the snapshot before the next one is taken
-constexpr auto tail_bytes = std::size_t{1} << 20;          // covered entries kept in memory for followers
+constexpr auto compaction_threshold_bytes = std::size_t{2}
+                                            << 20;         // entries behind the snapshot before the next one is taken
+constexpr auto max_tail_bytes = std::size_t{1} << 20;      // covered entries kept in memory for followers
 constexpr auto max_retained_bytes = std::size_t{8} << 20;  // kept for a follower that is being brought up, at most
 
 // Bounds by number, and of what is sent at once. Tests set small ones, so that snapshots are taken and sent often.
 struct log_limits {
-  std::int64_t compaction_entries = 1024;  // behind the snapshot before the next one is taken
-  std::int64_t tail_entries = 512;         // covered ones kept in memory for followers
-  std::size_t first_window = 64 << 10;     // bytes sent to a follower at once, before its link's speed is known
-  std::size_t least_window = 8 << 10;      // and on the slowest link
+  std::int64_t compaction_threshold_entries = 1024;  // behind the snapshot before the next one is taken
+  std::int64_t max_tail_entries = 512;               // covered ones kept in memory for followers
+  std::size_t initial_window_bytes = 64 << 10;  // bytes sent to a follower at once, before its link's speed is known
+  std::size_t min_window_bytes = 8 << 10;       // and on the slowest link
 };
 
 // The log of one replica on its disk. Owned by `consensus`, its only caller; one thread.
@@ -85,7 +86,7 @@
   }
 
   // Enough has been applied since the last snapshot that another should be taken.
-  [[nodiscard]] auto wants_snapshot(log_index applied) const -> bool;
+  [[nodiscard]] auto snapshot_due(log_index applied) const -> bool;
   // `image` replaces the entries up to it on disk; in memory those after `needed` stay while the bounds allow.
   auto compact(const snapshot& image, log_index needed) -> void;
   // `image`, sealed as `bytes`, replaces what is here, but for entries that follow it in the same history.
--- a/src/raft/log_storage_test.cpp
+++ b/src/raft/log_storage_test.cpp
@@ -114,7 +114,7 @@
   auto image = snapshot_at(10);
   image.term = 2;  // of another history than the entries here
   log.term = 2;
-  log.install(image, seal_snapshot(image));
+  log.install(image, serialize_snapshot(image));
   sync();
   each_prefix(from, 10);
   LONGS_EQUAL(10, log.last());
@@ -125,7 +125,7 @@
   log.durable_index = 20;
   sync();
   auto image = snapshot_at(10);
-  log.install(image, seal_snapshot(image));
+  log.install(image, serialize_snapshot(image));
   LONGS_EQUAL(20, log.last());
   LONGS_EQUAL(20, log.durable_index);
   LONGS_EQUAL(10, log.first());
@@ -138,7 +138,7 @@
   auto copy = recording_store(process_host);
   for (const auto& step : disk.steps)
     copy.take(step);
-  copy.rows["L/cap"] = seal_snapshot(snapshot_at(5));
+  copy.rows["L/cap"] = serialize_snapshot(snapshot_at(5));
   auto again = log_storage(copy);
   again.load(1);
   LONGS_EQUAL(5, again.last());
@@ -153,13 +153,13 @@
   auto command = object{{"k", "leave"}, {"name", std::string(100 << 10, 'x')}};
   for (auto i = 0; i < 30; ++i)
     log.append(1, command);
-  CHECK_FALSE(log.wants_snapshot(0));
-  CHECK_FALSE(log.wants_snapshot(5));
-  CHECK(log.wants_snapshot(25));
+  CHECK_FALSE(log.snapshot_due(0));
+  CHECK_FALSE(log.snapshot_due(5));
+  CHECK(log.snapshot_due(25));
   log.compact(snapshot_at(25), 25);
-  CHECK_FALSE(log.wants_snapshot(30));
+  CHECK_FALSE(log.snapshot_due(30));
   log.truncate_from(28);
-  CHECK_FALSE(log.wants_snapshot(27));
+  CHECK_FALSE(log.snapshot_due(27));
   CHECK(log.bytes() < std::size_t{14} * (100 << 10));
 }
 // In memory a follower that is being brought up keeps what it needs, up to the bound and no further.
@@ -175,7 +175,7 @@
   CHECK(log.first() > 5);
   CHECK(log.bytes() <= max_retained_bytes);
   log.compact(snapshot_at(120), 120);
-  CHECK(log.bytes() <= tail_bytes);
+  CHECK(log.bytes() <= max_tail_bytes);
 }
 TEST(log_storage_tests, voters_follow_the_log) {
   auto two = encode(membership_command{{{{"a:1", "x"}, {"b:1", "y"}}, {}}, {}});
--- a/src/raft/recovery_test.cpp
+++ b/src/raft/recovery_test.cpp
@@ -60,12 +60,12 @@
   start_all(cluster);
   auto most = churn(cluster, 400);
   CHECK(most > (std::size_t{1} << 20));
-  CHECK(most <= compaction_bytes + tail_bytes + 8 * large);
+  CHECK(most <= compaction_threshold_bytes + max_tail_bytes + 8 * large);
   auto lead = cluster.leader();
   auto on_disk = std::size_t{0};
   for (const auto& [key, value] : cluster.processes.at(lead)->machine->durable)
     on_disk += value.size();
-  CHECK(on_disk <= compaction_bytes + 8 * large);
+  CHECK(on_disk <= compaction_threshold_bytes + 8 * large);
 }
 // Down through thousands of changes, or emptied: it has all again within two seconds.
 TEST(raft_recovery, a_voter_is_brought_up_in_bounded_time) {
@@ -227,7 +227,7 @@
                             {{{"10.7.7.1:1", "x"}}, {}},
                             "fleet",
                             cluster.processes.at(lead)->control->state.take_snapshot()};
-    image = seal_snapshot(content);
+    image = serialize_snapshot(content);
   }
   auto chunk(std::int64_t offset, std::size_t length)->snapshot_chunk {
     auto size = static_cast<std::int64_t>(image.size());
@@ -290,11 +290,11 @@
   STRCMP_EQUAL("malformed", reply_to(chunk(0, image.size())).c_str());
   auto content = snapshot{
       1000, status_number(cluster, lead, "term"), {{{"10.7.7.1:1", "x"}}, {}}, "", value(object{{"format", 1}})};
-  image = seal_snapshot(content);  // a snapshot, and its state is none
+  image = serialize_snapshot(content);  // a snapshot, and its state is none
   STRCMP_EQUAL("malformed", reply_to(chunk(0, image.size())).c_str());
   content.state = cluster.processes.at(lead)->control->state.take_snapshot();
   content.index = 900;
-  image = seal_snapshot(content);  // whole, and not the one that was named
+  image = serialize_snapshot(content);  // whole, and not the one that was named
   STRCMP_EQUAL("malformed", reply_to(chunk(0, image.size())).c_str());
   check_unharmed();
 }
--- a/src/raft/replication.cpp
+++ b/src/raft/replication.cpp
@@ -68,7 +68,7 @@
   if (follower == self_ || progress_.contains(follower))
     return;
   auto& progress = progress_[follower];
-  progress.window = state_machine_.limits.first_window;
+  progress.window = state_machine_.limits.initial_window_bytes;
   progress.next_index = log_.last();
   progress.added_at = host_.now();
   // A voter has just voted, or is given the time to answer; one that only learns is in no majority.
@@ -98,7 +98,7 @@
 auto consensus::send_next(voter follower, term_number leader_term) -> task<bool> {
   auto& progress = progress_.at(follower);
   progress.next_index = std::max(progress.next_index, log_index(1));
-  auto by_snapshot = progress.next_index <= log_.first() && !progress.other_disk;
+  auto by_snapshot = progress.next_index <= log_.first() && !progress.different_disk_answered;
   auto answered = false;
   try {
     if (by_snapshot)
@@ -113,7 +113,7 @@
 }
 
 auto consensus::adapt_window(const voter& follower, monotonic_time took) -> void {
-  progress_.at(follower).adapt_window(took, election_timeout_, state_machine_.limits.least_window);
+  progress_.at(follower).adapt_window(took, election_timeout_, state_machine_.limits.min_window_bytes);
 }
 
 // Sends what may take long, with heartbeats beside it.
@@ -184,7 +184,7 @@
   auto previous = progress.next_index - 1;
   auto request =
       append_request{leader_term, self_.address, follower.disk_id, previous, log_.term_at(previous), commit_index_, {}};
-  if (progress.other_disk)
+  if (progress.different_disk_answered)
     return request;
   auto bytes = std::size_t{0};
   for (auto at = progress.next_index; at <= log_.last() && at > log_.first(); ++at) {
@@ -214,7 +214,7 @@
     co_return false;
   }
   auto& progress = progress_.at(follower);
-  if (!progress.take_append_reply(follower, reply, log_.last(), sent_at))
+  if (!progress.handle_append_reply(follower, reply, log_.last(), sent_at))
     co_return false;
   progress.announced_commit_index = reply.success ? request.commit_index : log_index(-1);
   advance_commit();
--- a/src/raft/snapshot.cpp
+++ b/src/raft/snapshot.cpp
@@ -17,7 +17,7 @@
   if (auto image = last_image_.lock(); image && image->index >= log_.first())
     return image;
   auto content = take_snapshot();
-  auto bytes = seal_snapshot(content);
+  auto bytes = serialize_snapshot(content);
   auto checksum = checksum_of(bytes);
   auto image =
       std::make_shared<const snapshot_image>(snapshot_image{content.index, content.term, checksum, std::move(bytes)});
@@ -46,7 +46,7 @@
     co_return false;
   }
   auto& answered = progress_.at(follower);
-  if (!answered.take_snapshot_reply(follower, reply, sent_at))
+  if (!answered.handle_snapshot_reply(follower, reply, sent_at))
     co_return false;
   reply_received_.wake();
   answered.advance_transfer(*image, reply);
@@ -78,7 +78,7 @@
   auto parts = incoming_snapshot_.release();
   auto content = snapshot();
   try {
-    content = unseal_snapshot(parts.bytes);
+    content = deserialize_snapshot(parts.bytes);
     if (content.index != parts.index || content.term != parts.term)
       throw request_error(errc::malformed, "install_snapshot: the snapshot is not the one that was named");
     state_machine_.restore(content.state);
@@ -106,7 +106,7 @@
 
 // Bounded growth: a snapshot replaces the entries before it.
 auto consensus::compact() -> void {
-  if (!log_.wants_snapshot(applied_index_))
+  if (!log_.snapshot_due(applied_index_))
     return;
   log_.compact(take_snapshot(), needed_index());
   if (is_leader())
--- a/tools/simulator/log_model.cpp
+++ b/tools/simulator/log_model.cpp
@@ -406,7 +406,7 @@
     }
     if (auto it = disk.find("L/cap"); it != disk.end() && it->second != one.seen_snapshot) {
       one.seen_snapshot = it->second;
-      auto snapshot = unseal_snapshot(it->second);
+      auto snapshot = deserialize_snapshot(it->second);
       invariants_.voters_committed(snapshot.index.get(), snapshot.members);
     }
     check_entries(one, committed);
