--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -91,8 +91,8 @@
 }
 
 auto agent::make_lease(monotonic_time received_at) const -> lease_grant {
-  return {.duration = host_.now() + session.lease_left() - received_at,
-          .versions = session.requirements_from(received_at),
+  return {.duration = host_.now() + session.remaining_lease() - received_at,
+          .versions = session.requirements_relative_to(received_at),
           .partitions_version = session.view.partitions_version};
 }
 
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -31,7 +31,7 @@
   // The version that the agent reports: what the gateway serves.
   auto reported_version() -> configuration_version;
   [[nodiscard]] auto can_grant_lease() const -> bool {
-    return session.has_lease() && session.synchronized();
+    return session.has_lease() && session.is_synchronized();
   }
   [[nodiscard]] auto make_lease(monotonic_time received_at) const -> lease_grant;
 
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -28,11 +28,11 @@
 
 auto cluster_view::delta_since(const view_versions& held, bool always, bool with_configuration) const -> view_delta {
   auto delta = view_delta();
-  auto takes_deltas = held.needed.has_value();
+  auto accepts_deltas = held.needed.has_value();
   auto lacks_newest = configuration && configuration->number > held.configuration_number;
   if (with_configuration && lacks_newest) {
     delta.configuration = configuration;
-    delta.packed = takes_deltas;
+    delta.packed = accepts_deltas;
   }
   if (partitions_version > held.partitions)
     delta.partitions = partitions_since(*this, held.partitions);
@@ -40,7 +40,7 @@
   for (const auto& [source, table] : session_tables) {
     auto it = held.tables.find(source);
     auto held_version = it == held.tables.end() ? 0 : it->second;
-    if (auto changes = table.delta_since(held_version, needed, takes_deltas, always))
+    if (auto changes = table.delta_since(held_version, needed, accepts_deltas, always))
       delta.tables[source] = std::move(*changes);
   }
   for (const auto& [source, version] : held.tables)
--- a/src/cluster/cluster_view.hpp
+++ b/src/cluster/cluster_view.hpp
@@ -81,18 +81,18 @@
   [[nodiscard]] auto find(const std::string& name) const -> const node_descriptor*;
   // All nodes by name, chosen like `find`.
   [[nodiscard]] auto nodes() const -> std::map<std::string, node_descriptor>;
-  [[nodiscard]] auto evacuated(const std::string& zone) const -> bool {
+  [[nodiscard]] auto is_evacuated(const std::string& zone) const -> bool {
     return drains.count(zone_key(zone)) > 0;
   }
   // Whether the node is to hold nothing: it is shutting down, or it drains, alone or with its zone.
   [[nodiscard]] auto is_draining(const node_descriptor& node) const -> bool {
-    return node.stopping || drains.count(node.name) > 0 || evacuated(node.zone);
+    return node.stopping || drains.count(node.name) > 0 || is_evacuated(node.zone);
   }
   // The addresses of storage nodes of a third zone, which may reach `address` where a node of `zone` cannot. None if
   // `address` is in `zone`.
   [[nodiscard]] auto relays(const std::string& zone, const std::string& address) const -> std::vector<std::string>;
   // For the status page and statediff, which compares what nodes know.
-  [[nodiscard]] auto beliefs() const -> value;
+  [[nodiscard]] auto encode_known_state() const -> value;
 
  private:
   auto apply(partitions_delta delta) -> void;
--- a/src/cluster/control_session.cpp
+++ b/src/cluster/control_session.cpp
@@ -7,7 +7,7 @@
 
 namespace reachridge {
 
-auto list_fingerprint(const std::vector<std::string>& addresses) -> std::int64_t {
+auto address_list_checksum(const std::vector<std::string>& addresses) -> std::int64_t {
   auto crc = boost::crc_32_type();
   for (const auto& address : addresses)
     crc.process_bytes(address.c_str(), address.size() + 1);
@@ -125,7 +125,7 @@
   // In this order: reporting the version may change `self`, which goes out with the next heartbeat.
   return {.node = self,
           .held_versions = view.version_vector(),
-          .control_nodes_crc = control_nodes_.empty() ? 0 : list_fingerprint(control_nodes_),
+          .control_nodes_checksum = control_nodes_.empty() ? 0 : address_list_checksum(control_nodes_),
           .accepts_deadlines = true,
           .served_version = reported_version()};
 }
--- a/src/cluster/control_session.hpp
+++ b/src/cluster/control_session.hpp
@@ -15,7 +15,7 @@
 namespace reachridge {
 
 // A checksum of a list of control nodes, so that a list is sent only to a node that has another.
-auto list_fingerprint(const std::vector<std::string>& addresses) -> std::int64_t;
+auto address_list_checksum(const std::vector<std::string>& addresses) -> std::int64_t;
 
 // Keeps a session with one control node after another, from its construction until `leave`. It owns the node's lease
 // and its view of the cluster. A storage node and an agent have it with control nodes, a gateway with its agent. The
@@ -31,7 +31,7 @@
   [[nodiscard]] auto has_lease() const -> bool {
     return lease_expires_at_ > host_.now();
   }
-  [[nodiscard]] auto lease_left() const -> monotonic_time {
+  [[nodiscard]] auto remaining_lease() const -> monotonic_time {
     return std::max<monotonic_time>(0, lease_expires_at_ - host_.now());
   }
   // The oldest version that may be served by now: the newest whose time to come into force has passed.
@@ -43,7 +43,7 @@
     return newest_announced_;
   }
   // All that is known of versions that must be in force, with times that count from `since`.
-  [[nodiscard]] auto requirements_from(monotonic_time since) const -> version_requirements {
+  [[nodiscard]] auto requirements_relative_to(monotonic_time since) const -> version_requirements {
     return {.required = required_version(),
             .newest = newest_announced(),
             .upcoming = deadlines_.pending(host_.now(), since)};
@@ -53,7 +53,7 @@
     return has_lease() && view.configuration && view.configuration->number >= required_version();
   }
   // The view has all that the majority had agreed on when it first answered: nothing older may be acted on.
-  [[nodiscard]] auto synchronized() const -> bool {
+  [[nodiscard]] auto is_synchronized() const -> bool {
     return answered_once_ && view.partitions_version >= required_partitions_version_;
   }
   // A request to the control plane; throws request_error.
--- a/src/cluster/session_codec.cpp
+++ b/src/cluster/session_codec.cpp
@@ -78,14 +78,14 @@
 
 auto encode(session_request request) -> value {
   return object{{"op", name_of(control_operation::session)}, {"me", request.node.to_value()},
-                {"vec", std::move(request.held_versions)},   {"queens", request.control_nodes_crc},
+                {"vec", std::move(request.held_versions)},   {"queens", request.control_nodes_checksum},
                 {"deadlines", request.accepts_deadlines},    {"charter", request.served_version}};
 }
 
 auto decode_session_request(const value& encoded) -> session_request {
   return {.node = node_descriptor::from_value(get_value(encoded, "me")),
           .held_versions = get_value(encoded, "vec"),
-          .control_nodes_crc = get_int_or(encoded, "queens", 0),
+          .control_nodes_checksum = get_int_or(encoded, "queens", 0),
           .accepts_deadlines = get_bool(encoded, "deadlines"),
           .served_version = get_int_or(encoded, "charter", 0)};
 }
--- a/src/cluster/session_codec_test.cpp
+++ b/src/cluster/session_codec_test.cpp
@@ -39,7 +39,7 @@
 TEST(session_codec, session_messages_keep_their_fields) {
   auto request = session_request{.node = sample_node(),
                                  .held_versions = object{{"cells", 2}},
-                                 .control_nodes_crc = 77,
+                                 .control_nodes_checksum = 77,
                                  .accepts_deadlines = true,
                                  .served_version = 4};
   check_json(
@@ -77,14 +77,14 @@
 TEST(session_codec, session_messages_come_back_as_they_went) {
   auto request = session_request{.node = sample_node(),
                                  .held_versions = object{{"need", object{{"wide", true}}}},
-                                 .control_nodes_crc = 77,
+                                 .control_nodes_checksum = 77,
                                  .accepts_deadlines = true,
                                  .served_version = 4};
   auto read_request = decode_session_request(encode(request));
   CHECK(read_request.node.to_value() == request.node.to_value());
   CHECK(read_request.held_versions == request.held_versions);
   CHECK(requests_all_zones(read_request.held_versions));
-  LONGS_EQUAL(77, read_request.control_nodes_crc);
+  LONGS_EQUAL(77, read_request.control_nodes_checksum);
   CHECK(read_request.accepts_deadlines);
   LONGS_EQUAL(4, read_request.served_version);
 
--- a/src/cluster/session_messages.hpp
+++ b/src/cluster/session_messages.hpp
@@ -35,10 +35,10 @@
 
 // A node's heartbeat. It is answered when there is something new for the node, or after a third of the failure timeout.
 struct session_request {
-  node_descriptor node;                // the sender
-  value held_versions;                 // cluster_view::version_vector of the sender
-  std::int64_t control_nodes_crc = 0;  // list_fingerprint of the control nodes it knows; 0: none
-  bool accepts_deadlines = false;      // it understands version_requirements::upcoming
+  node_descriptor node;                     // the sender
+  value held_versions;                      // cluster_view::version_vector of the sender
+  std::int64_t control_nodes_checksum = 0;  // list_fingerprint of the control nodes it knows; 0: none
+  bool accepts_deadlines = false;           // it understands version_requirements::upcoming
   configuration_version served_version = 0;
 };
 
--- a/src/cluster/session_table.cpp
+++ b/src/cluster/session_table.cpp
@@ -83,12 +83,12 @@
   }
 }
 
-auto session_table::delta_since(table_version held, const node_filter& needed, bool takes_deltas, bool always) const
+auto session_table::delta_since(table_version held, const node_filter& needed, bool accepts_deltas, bool always) const
     -> std::optional<session_table_delta> {
   auto needs_all_zones = needed.kind.empty() || needed.all_zones;
   if (version <= held || (zone_only && needs_all_zones))
     return {};
-  auto incremental = takes_deltas && held > 0 && held >= delta_floor;
+  auto incremental = accepts_deltas && held > 0 && held >= delta_floor;
   auto delta = session_table_delta();
   delta.version = version;
   delta.rows = rows_since(*this, incremental ? held : before_all_versions, needed);
@@ -129,9 +129,9 @@
   return changed;
 }
 
-auto session_table::changes_since(table_version held, const node_filter& needed, bool takes_deltas, bool always) const
+auto session_table::changes_since(table_version held, const node_filter& needed, bool accepts_deltas, bool always) const
     -> value {
-  auto delta = delta_since(held, needed, takes_deltas, always);
+  auto delta = delta_since(held, needed, accepts_deltas, always);
   return delta ? value(encode(*delta)) : value();
 }
 
--- a/src/cluster/session_table.hpp
+++ b/src/cluster/session_table.hpp
@@ -47,14 +47,14 @@
   // What a holder of version `held` lacks of what it needs. `takes_deltas`: the holder knows deltas; it gets the whole
   // table if it does not, or if its version is too old for one. None if nothing that it needs has changed, unless
   // `always`: then at least the version.
-  [[nodiscard]] auto delta_since(table_version held, const node_filter& needed, bool takes_deltas, bool always) const
+  [[nodiscard]] auto delta_since(table_version held, const node_filter& needed, bool accepts_deltas, bool always) const
       -> std::optional<session_table_delta>;
   // Brings this copy up to date; an older delta changes nothing. Returns whether a row changed.
   auto apply(session_table_delta delta) -> bool;
 
   // The same in their encoded form; null: none.
-  [[nodiscard]] auto changes_since(table_version held, const node_filter& needed, bool takes_deltas, bool always) const
-      -> value;
+  [[nodiscard]] auto changes_since(table_version held, const node_filter& needed, bool accepts_deltas,
+                                   bool always) const -> value;
   auto merge(const value& encoded) -> bool;
 
  private:
--- a/src/cluster/types.cpp
+++ b/src/cluster/types.cpp
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-auto member_of(const std::string& node, const std::string& disk_id) -> std::string {
+auto make_member_id(const std::string& node, const std::string& disk_id) -> std::string {
   return node + "/" + disk_id;
 }
 
@@ -33,7 +33,7 @@
   return std::find(in_sync_replicas.begin(), in_sync_replicas.end(), member) != in_sync_replicas.end();
 }
 
-auto partition_assignment::is_in_sync_on(const std::string& node) const -> bool {
+auto partition_assignment::has_in_sync_replica_on(const std::string& node) const -> bool {
   return std::any_of(in_sync_replicas.begin(), in_sync_replicas.end(), [&](const auto& member) {
     return node_of_member(member) == node;
   });
@@ -47,7 +47,7 @@
   return out;
 }
 
-auto partition_assignment::is_member_of(const std::string& member) const -> bool {
+auto partition_assignment::has_member(const std::string& member) const -> bool {
   return primary == member || is_in_sync(member);
 }
 
--- a/src/cluster/types.hpp
+++ b/src/cluster/types.hpp
@@ -17,7 +17,7 @@
 using table_version = std::int64_t;
 
 // Members. A member is "name/disk": a node whose disk was lost comes back as another member.
-auto member_of(const std::string& node, const std::string& disk_id) -> std::string;
+auto make_member_id(const std::string& node, const std::string& disk_id) -> std::string;
 auto node_of_member(const std::string& member) -> std::string;
 
 // The key of a whole zone among the drains. No node's name contains a ':', so it can't be taken for a node's.
@@ -41,10 +41,10 @@
   static auto from_value(const value& encoded) -> partition_assignment;
   // The replicas in sync without the primary.
   [[nodiscard]] auto backups() const -> std::vector<std::string>;
-  [[nodiscard]] auto is_member_of(const std::string& member) const -> bool;
+  [[nodiscard]] auto has_member(const std::string& member) const -> bool;
   [[nodiscard]] auto is_in_sync(const std::string& member) const -> bool;
   // Whether a replica in sync, on whatever disk, is on this node.
-  [[nodiscard]] auto is_in_sync_on(const std::string& node) const -> bool;
+  [[nodiscard]] auto has_in_sync_replica_on(const std::string& node) const -> bool;
 };
 
 // What is to become of a node, or a zone, that partitions move away from.
@@ -83,7 +83,7 @@
   [[nodiscard]] auto to_value() const -> value;
   static auto from_value(const value& encoded) -> node_descriptor;
   [[nodiscard]] auto member() const -> std::string {
-    return member_of(name, disk_id);
+    return make_member_id(name, disk_id);
   }
 };
 
--- a/src/cluster/view_codec.cpp
+++ b/src/cluster/view_codec.cpp
@@ -36,7 +36,7 @@
 // Null: the message brings none.
 auto decode_configuration(const value& encoded) -> configuration_ptr {
   if (const auto& packed = get_value(encoded, "packed"); packed.is_string())
-    return configuration_record::from_pull(get_value(encoded, "head"), std::string(packed.get_string()));
+    return configuration_record::from_received(get_value(encoded, "head"), std::string(packed.get_string()));
   if (const auto& text = get_value(encoded, "charter"); text.is_string())
     return configuration_record::from_compiled(compile_configuration(std::string(text.get_string())));
   return nullptr;
@@ -145,7 +145,7 @@
   return delta;
 }
 
-auto cluster_view::beliefs() const -> value {
+auto cluster_view::encode_known_state() const -> value {
   auto encoded_partitions = object();
   for (const auto& [id, assignment] : partitions)
     encoded_partitions[id] = assignment.to_value();
--- a/src/configuration/configuration_compiler.cpp
+++ b/src/configuration/configuration_compiler.cpp
@@ -8,7 +8,7 @@
 #include <sstream>
 
 #include "configuration/compiled_configuration.hpp"
-#include "configuration/configuration_faults.hpp"
+#include "configuration/configuration_errors.hpp"
 #include "configuration/field_reader.hpp"
 #include "configuration/repeated_keys.hpp"
 #include "configuration/rule_parser.hpp"
@@ -76,12 +76,12 @@
   return out;
 }
 
-auto parse_document(const std::string& body, configuration_faults& faults) -> document {
+auto parse_document(const std::string& body, configuration_errors& faults) -> document {
   auto out = document();
   auto error = boost::json::error_code();
   out.root = boost::json::parse(body, error);
   try {
-    if (error.failed() || repeats_keys(body, out.root))
+    if (error.failed() || has_repeated_keys(body, out.root))
       out.with_repeats = parse_with_repeats(body);
     if (error)
       faults.add("charter", error.message());
@@ -96,7 +96,7 @@
 // Compiles a document whose root is an object. Each step notes its faults and goes on, so that all are named at once.
 class configuration_compiler {
  public:
-  configuration_compiler(const document& read, compiled_configuration& out, configuration_faults& faults)
+  configuration_compiler(const document& read, compiled_configuration& out, configuration_errors& faults)
       : document_(read), out_(out), faults_(faults) {}
 
   auto compile() -> void {
@@ -235,7 +235,7 @@
 
   const document& document_;
   compiled_configuration& out_;
-  configuration_faults& faults_;
+  configuration_errors& faults_;
   std::set<std::string> prefixes_;
   std::map<std::string, std::int64_t> partitions_of_pools_;
 };
@@ -244,7 +244,7 @@
 
 auto compile_configuration(const std::string& body) -> compiled_configuration_ptr {
   auto out = std::make_shared<compiled_configuration>();
-  auto faults = configuration_faults();
+  auto faults = configuration_errors();
   const auto read = parse_document(body, faults);
   if (faults.empty())
     configuration_compiler(read, *out, faults).compile();
--- a/src/configuration/configuration_faults.cpp
+++ b/src/configuration/configuration_errors.cpp
@@ -1,8 +1,8 @@
-#include "configuration/configuration_faults.hpp"
+#include "configuration/configuration_errors.hpp"
 
 namespace reachridge {
 
-auto configuration_faults::to_error() const -> request_error {
+auto configuration_errors::to_error() const -> request_error {
   auto details = array();
   auto message = std::string();
   for (const auto& fault : faults_) {
--- a/src/configuration/configuration_faults.hpp
+++ b/src/configuration/configuration_errors.hpp
@@ -7,13 +7,13 @@
 
 namespace reachridge {
 
-struct configuration_fault {
+struct configuration_error {
   std::string place;  // "spaces[1].prefix", "rules[0]", "line 3"
   std::string message;
 };
 
 // Collects every fault, in the order in which they were found.
-class configuration_faults {
+class configuration_errors {
  public:
   auto add(std::string place, std::string message) -> void {
     faults_.push_back({std::move(place), std::move(message)});
@@ -25,7 +25,7 @@
   [[nodiscard]] auto to_error() const -> request_error;
 
  private:
-  std::vector<configuration_fault> faults_;
+  std::vector<configuration_error> faults_;
 };
 
 }  // namespace reachridge
--- a/src/configuration/configuration_record.cpp
+++ b/src/configuration/configuration_record.cpp
@@ -89,7 +89,7 @@
   return out;
 }
 
-auto configuration_record::from_pull(const value& head, const std::string& rules) -> pointer {
+auto configuration_record::from_received(const value& head, const std::string& rules) -> pointer {
   auto out = std::make_shared<configuration_record>();
   out->rules_deflated_ = rules;
   if (!head.is_object()) {
--- a/src/configuration/configuration_record.hpp
+++ b/src/configuration/configuration_record.hpp
@@ -23,7 +23,7 @@
   static auto from_value(const value& stored) -> pointer;
   // From what a node was sent: `rules` as in `rules()`, `head` as in `head()`. A sender of an earlier release sends no
   // head: then the rules are compiled at once.
-  static auto from_pull(const value& head, const std::string& rules) -> pointer;
+  static auto from_received(const value& head, const std::string& rules) -> pointer;
 
   // Everything, for the replicated log and its snapshots.
   [[nodiscard]] auto to_value() const -> value;
--- a/src/configuration/configuration_record_test.cpp
+++ b/src/configuration/configuration_record_test.cpp
@@ -33,16 +33,16 @@
 }
 // A node that needs the pools alone compiles nothing, and a gateway only once.
 TEST(configuration_records, rules_are_compiled_where_they_are_asked_for) {
-  auto damaged = reachridge::configuration_record::from_pull(record(translated)->head(), "no deflated text");
+  auto damaged = reachridge::configuration_record::from_received(record(translated)->head(), "no deflated text");
   LONGS_EQUAL(7, damaged->number);
   LONGS_EQUAL(3, damaged->pools.at("p").partitions);
   CHECK_THROWS(reachridge::decode_error, (void)damaged->compiled());
   auto whole = record(translated);
-  auto pulled = reachridge::configuration_record::from_pull(whole->head(), whole->rules());
+  auto pulled = reachridge::configuration_record::from_received(whole->head(), whole->rules());
   POINTERS_EQUAL(pulled->compiled().get(), pulled->compiled().get());
 }
 TEST(configuration_records, an_earlier_release_sends_no_head) {
-  auto pulled = reachridge::configuration_record::from_pull(nullptr, record(translated)->rules());
+  auto pulled = reachridge::configuration_record::from_received(nullptr, record(translated)->rules());
   LONGS_EQUAL(7, pulled->number);
   LONGS_EQUAL(3, pulled->pools.at("p").partitions);
 }
--- a/src/configuration/field_reader.hpp
+++ b/src/configuration/field_reader.hpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <string>
 
-#include "configuration/configuration_faults.hpp"
+#include "configuration/configuration_errors.hpp"
 #include "runtime/value.hpp"
 
 namespace reachridge {
@@ -22,7 +22,7 @@
 
   // `fields` is an object. `with_repeats` holds the same with repeated keys; null: no key of the text is repeated.
   // `place` comes before each field's name in a fault: "" or "spaces[0].".
-  field_reader(const value& fields, const property_tree* with_repeats, std::string place, configuration_faults& faults)
+  field_reader(const value& fields, const property_tree* with_repeats, std::string place, configuration_errors& faults)
       : fields_(fields), with_repeats_(with_repeats), place_(std::move(place)), faults_(faults) {}
 
   // Notes keys that are not known and keys that are repeated.
@@ -43,7 +43,7 @@
   const value& fields_;
   const property_tree* with_repeats_;
   std::string place_;
-  configuration_faults& faults_;
+  configuration_errors& faults_;
 };
 
 }  // namespace reachridge
--- a/src/configuration/repeated_keys.cpp
+++ b/src/configuration/repeated_keys.cpp
@@ -88,7 +88,7 @@
 
 }  // namespace
 
-auto repeats_keys(const std::string& body, const value& parsed) -> bool {
+auto has_repeated_keys(const std::string& body, const value& parsed) -> bool {
   auto parser = boost::json::basic_parser<key_counter>(boost::json::parse_options());
   auto error = boost::json::error_code();
   parser.write_some(false, body.data(), body.size(), error);
--- a/src/configuration/repeated_keys.hpp
+++ b/src/configuration/repeated_keys.hpp
@@ -7,6 +7,6 @@
 namespace reachridge {
 
 // Whether `body`, which was parsed as `parsed`, repeats a key in any object.
-auto repeats_keys(const std::string& body, const value& parsed) -> bool;
+auto has_repeated_keys(const std::string& body, const value& parsed) -> bool;
 
 }  // namespace reachridge
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -237,7 +237,7 @@
 
 auto control_node::status() const -> value {
   return object{{"kind", node_kind::control}, {"name", settings_.name},       {"zone", settings_.zone},
-                {"ledger", raft.status()},    {"sessions", sessions_.size()}, {"beliefs", view_.beliefs()}};
+                {"ledger", raft.status()},    {"sessions", sessions_.size()}, {"beliefs", view_.encode_known_state()}};
 }
 
 }  // namespace reachridge
--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -26,7 +26,7 @@
 auto control_state::partitions_of(const std::string& node) const -> std::vector<std::string> {
   auto out = std::vector<std::string>();
   for (const auto& [id, assignment] : partitions) {
-    auto holds_replica = node_of_member(assignment.primary) == node || assignment.is_in_sync_on(node);
+    auto holds_replica = node_of_member(assignment.primary) == node || assignment.has_in_sync_replica_on(node);
     if (holds_replica)
       out.push_back(id);
   }
--- a/src/control/drain_service.cpp
+++ b/src/control/drain_service.cpp
@@ -19,7 +19,7 @@
 auto control_node::why_not_decommission(const drain_order& order, const node_zones& remaining) const
     -> std::optional<request_error> {
   for (const auto& [id, assignment] : state.partitions) {
-    if (!assignment.is_in_sync_on(order.name))
+    if (!assignment.has_in_sync_replica_on(order.name))
       continue;
     const auto& replicas = assignment.in_sync_replicas;
     auto has_other = std::any_of(replicas.begin(), replicas.end(), [&](const auto& member) {
--- a/src/control/placement.cpp
+++ b/src/control/placement.cpp
@@ -246,7 +246,7 @@
 auto control_node::is_under_way(const replica_move& move) -> bool {
   const auto& assignment = state.partitions[move.partition];
   auto same_primary = node_of_member(assignment.primary) == move.primary;
-  auto done = move.hands_over() ? !same_primary : assignment.is_in_sync_on(move.backup);
+  auto done = move.hands_over() ? !same_primary : assignment.has_in_sync_replica_on(move.backup);
   auto timed_out = host_.now() - moves_requested_at_ >= settings_.failure_timeout * move_timeout;
   return !done && same_primary && !timed_out;
 }
--- a/src/control/placement_policy.cpp
+++ b/src/control/placement_policy.cpp
@@ -67,7 +67,7 @@
 
   // Replicas are in no fewer zones after a move than before it.
   [[nodiscard]] auto may_replace(const partition_assignment& assignment, const std::string& backup) const -> bool {
-    if (assignment.is_in_sync_on(to.name))
+    if (assignment.has_in_sync_replica_on(to.name))
       return false;
     auto zones_now = zone_count(assignment, nodes, "", to);
     auto zones_then = zone_count(assignment, nodes, backup, to);
--- a/src/control/placement_policy_test.cpp
+++ b/src/control/placement_policy_test.cpp
@@ -28,7 +28,7 @@
   auto out = partition_assignment();
   out.epoch = 1;
   for (const auto& name : nodes)
-    out.in_sync_replicas.push_back(member_of(name, "1"));
+    out.in_sync_replicas.push_back(make_member_id(name, "1"));
   out.primary = out.in_sync_replicas.front();
   return out;
 }
--- a/src/control/session_service.cpp
+++ b/src/control/session_service.cpp
@@ -103,7 +103,7 @@
   const auto send_configuration = host_.now() >= configuration_due(request);
   updates.view_changes = view_.changes_since(request.held_versions, settle, send_configuration);
   auto endpoints = session_endpoints();
-  if (!endpoints.empty() && list_fingerprint(endpoints) != request.control_nodes_crc)
+  if (!endpoints.empty() && address_list_checksum(endpoints) != request.control_nodes_checksum)
     updates.control_nodes = std::move(endpoints);
   return updates;
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -49,14 +49,14 @@
 gateway::~gateway() = default;
 
 auto gateway::is_serving() const -> bool {
-  return !leaving_ && session.may_serve() && session.synchronized();
+  return !leaving_ && session.may_serve() && session.is_synchronized();
 }
 
 // Out of an evacuated zone new connections go elsewhere, as long as another gateway can take them.
 auto gateway::ready() const -> bool {
   if (!is_serving())
     return false;
-  if (!session.view.evacuated(settings_.zone))
+  if (!session.view.is_evacuated(settings_.zone))
     return true;
   const auto nodes = session.view.nodes();
   return std::none_of(nodes.begin(), nodes.end(), [&](const auto& entry) {
@@ -119,10 +119,10 @@
     const auto& node = entry.second;
     return node.kind == gateway_kind && node.zone == settings_.zone && node.http_address != session.self.http_address;
   });
-  if (has_neighbour || !session.synchronized())
+  if (has_neighbour || !session.is_synchronized())
     alone_since_ = host_.now();
   const auto alone_for = host_.now() - alone_since_;
-  if (session.view.evacuated(settings_.zone) || alone_for > settings_.failure_timeout / 2)
+  if (session.view.is_evacuated(settings_.zone) || alone_for > settings_.failure_timeout / 2)
     session.view.filter.all_zones = true;
 }
 
@@ -139,7 +139,7 @@
                 {"refused", refused_},
                 {"unclear", unclear_},
                 {"delivered", delivered_},
-                {"beliefs", session.view.beliefs()}};
+                {"beliefs", session.view.encode_known_state()}};
 }
 
 }  // namespace reachridge
--- a/src/gateway/requests.cpp
+++ b/src/gateway/requests.cpp
@@ -157,7 +157,7 @@
 // The request's way through the rules of the newest configuration; throws request_error where it ends.
 auto gateway::resolve_route(action asked, const std::string& client_name, const std::string& topic, std::size_t bytes)
     -> route {
-  if (!session.may_serve() || !session.synchronized())
+  if (!session.may_serve() || !session.is_synchronized())
     throw request_error(errc::no_lease, "no charter lease stands here", execution_outcome::not_executed,
                         host_.jittered(settings_.failure_timeout) / millisecond);
   if (!is_topic(topic))
--- a/src/storage/partition_backup.cpp
+++ b/src/storage/partition_backup.cpp
@@ -34,7 +34,7 @@
 }
 
 auto partition::is_obsolete() const -> bool {
-  auto assigned_elsewhere = assignment_.epoch > 0 && !assignment_.is_member_of(own_member());
+  auto assigned_elsewhere = assignment_.epoch > 0 && !assignment_.has_member(own_member());
   auto unused = role_ != replica_role::primary && calls_running_ == 0;
   return assigned_elsewhere && unused &&
          host_.now() - last_sign_of_primary() > context_.settings.failure_timeout * obsolete_after_timeouts;
--- a/src/storage/partition_leadership.cpp
+++ b/src/storage/partition_leadership.cpp
@@ -53,7 +53,7 @@
   if (!is_own && committed.is_in_sync(own_member()) && role_ != replica_role::backup)
     become_backup();
   auto follows_older = role_ == replica_role::backup && followed_.epoch < committed.epoch;
-  if (follows_older && !committed.is_member_of(own_member()))
+  if (follows_older && !committed.has_member(own_member()))
     role_ = replica_role::idle;
   wake_up_.wake();
 }
@@ -135,7 +135,7 @@
   subscribers_.clear();
   disconnected_.clear();
   log_grown_.wake();
-  if (assignment_.primary != own_member() && assignment_.is_member_of(own_member()))
+  if (assignment_.primary != own_member() && assignment_.has_member(own_member()))
     become_backup();
 }
 
@@ -229,7 +229,7 @@
   auto claim_delay = host_.jittered(context_.settings.heartbeat_interval);
   while (true) {
     co_await wait_for_next_check();
-    if (!context_.session.synchronized())
+    if (!context_.session.is_synchronized())
       continue;
     const auto& committed = context_.session.view.partitions;
     if (auto it = committed.find(id); it != committed.end())
--- a/src/storage/storage_node.cpp
+++ b/src/storage/storage_node.cpp
@@ -139,7 +139,7 @@
                 {"leased", session.has_lease()},
                 {"cells", partitions},
                 {"queued", commands_.size()},
-                {"beliefs", session.view.beliefs()},
+                {"beliefs", session.view.encode_known_state()},
                 {"worked", commands_run_},
                 {"syncs", disk->syncs},
                 {"bytes", disk->bytes},
--- a/src/storage/storage_node_partitions.cpp
+++ b/src/storage/storage_node_partitions.cpp
@@ -13,7 +13,7 @@
   while (true) {
     co_await session.changed.wait(host_, host_.now() + settings_.heartbeat_interval);
     // A replica that cannot be read now is not a damaged one.
-    if (!session.synchronized() || host_.disk()->failed())
+    if (!session.is_synchronized() || host_.disk()->failed())
       continue;
     apply_assignments();
     remove_obsolete_partitions();
@@ -44,7 +44,7 @@
   const auto member = session.self.member();
   const auto& assignments = session.view.partitions;
   for (const auto& [id, assignment] : assignments)
-    if (assignment.is_member_of(member))
+    if (assignment.has_member(member))
       open_partition(id);
   for (auto& [id, held] : partitions_)
     if (auto it = assignments.find(id); it != assignments.end())
--- a/src/storage/storage_node_requests.cpp
+++ b/src/storage/storage_node_requests.cpp
@@ -74,7 +74,7 @@
 
 auto storage_node::check_may_join() const -> void {
   check_disk();
-  if (!session.synchronized())
+  if (!session.is_synchronized())
     throw request_error(errc::unreachable, "not yet fresh from the ledger", execution_outcome::not_executed,
                         settings_.heartbeat_interval / millisecond);
 }
@@ -200,7 +200,7 @@
     co_return *page;
   if (request.path != "/readyz")
     throw request_error(errc::not_found, "no page " + request.path);
-  const auto leased = session.synchronized() && session.has_lease();
+  const auto leased = session.is_synchronized() && session.has_lease();
   if (!leaving_ && leased && !host_.disk()->failed())
     co_return http_response{200, {}, "ready\n"};
   throw request_error(errc::not_ready, leaving_ ? "leaving" : "no lease stands", execution_outcome::not_executed,
--- a/tools/simulator/fleet_test.cpp
+++ b/tools/simulator/fleet_test.cpp
@@ -461,7 +461,7 @@
     while (whole == never && f.network.clock < end) {
       f.network.run(f.network.clock + 10 * millisecond);
       const auto* s = c.session.view.find(lost);
-      if (seen == never && c.session.synchronized() && s && !s->disk_id.empty())
+      if (seen == never && c.session.is_synchronized() && s && !s->disk_id.empty())
         seen = f.network.clock;
       if (const auto* one = c.partition_at(id)) {
         auto now = one->status();
@@ -499,7 +499,7 @@
           serves.emplace(n, f.network.clock);
       for (const auto& n : f.names("comb")) {
         auto& c = *f.processes.at(n)->storage;
-        if (c.session.synchronized())
+        if (c.session.is_synchronized())
           fresh.emplace(n, f.network.clock);
         for (const auto& [id, row] : c.session.view.partitions)
           if (const auto* one = c.partition_at(id); one && one->live() && node_of_member(row.primary) == n)
