--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -110,7 +110,7 @@
 }
 
 auto control_node::may_grant_leases() const -> bool {
-  return raft.leadership_settled() && host_.now() < raft.last_quorum_contact() + settings_.leader_contact_limit();
+  return raft.leadership_established() && host_.now() < raft.last_quorum_contact() + settings_.leader_contact_limit();
 }
 
 // A follower is ready if the leader has just granted it leases, which takes a majority: to hear a leader is not enough,
--- a/src/raft/bootstrap.cpp
+++ b/src/raft/bootstrap.cpp
@@ -34,7 +34,7 @@
   auto survey = co_await survey_peers(std::move(disks));
   auto all_blank = survey.via.empty();
   auto all_answered = survey.disks.size() == settings_.seeds.size();
-  auto may_found = !log_.founded && settings_.may_bootstrap && is_seed;
+  auto may_found = !log_.initialized && settings_.may_bootstrap && is_seed;
   if (may_found && all_blank && all_answered)
     co_await found_log(std::move(survey.disks));
   else if (!all_blank)
@@ -50,7 +50,7 @@
       auto request = describe_request();
       auto reply = co_await describe_peer(address, request);
       survey.disks.push_back({address, reply.disk_id});
-      if (!reply.founded || reply.empty)
+      if (!reply.initialized || reply.empty)
         continue;
       if (reply.leader == address || survey.via.empty())
         survey.via = address;
@@ -96,7 +96,7 @@
     try {
       auto request = describe_request{self_};
       auto reply = co_await describe_peer(address, request);
-      if (reply.leader.empty() || reply.asker_is_voter)
+      if (reply.leader.empty() || reply.requester_is_voter)
         continue;
       via = address;
       break;
--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -318,8 +318,9 @@
 }
 
 auto encode(const describe_request& request) -> value {
-  return object{
-      {"op", name_of(raft_operation::describe)}, {"addr", request.asker.address}, {"id", request.asker.disk_id}};
+  return object{{"op", name_of(raft_operation::describe)},
+                {"addr", request.requester.address},
+                {"id", request.requester.disk_id}};
 }
 
 auto decode_describe_request(const value& message) -> describe_request {
@@ -329,10 +330,10 @@
 
 auto encode(const describe_reply& reply) -> value {
   return object{{"id", reply.disk_id},
-                {"founded", reply.founded},
+                {"founded", reply.initialized},
                 {"empty", reply.empty},
                 {"lead", reply.leader},
-                {"mate", reply.asker_is_voter}};
+                {"mate", reply.requester_is_voter}};
 }
 
 auto decode_describe_reply(const value& message) -> describe_reply {
@@ -373,7 +374,7 @@
                 {"base", status.snapshot_index.get()},
                 {"bytes", status.log_bytes},
                 {"voters", std::move(rows)},
-                {"changing", status.changing},
+                {"changing", status.membership_changing},
                 {"disk", status.disk_id}};
 }
 
@@ -382,7 +383,7 @@
                                      {"id", metadata.disk_id},
                                      {"term", metadata.term.get()},
                                      {"voted", metadata.voted_for},
-                                     {"founded", metadata.founded}});
+                                     {"founded", metadata.initialized}});
 }
 
 auto deserialize_metadata(std::string_view bytes) -> log_metadata {
--- a/src/raft/consensus.hpp
+++ b/src/raft/consensus.hpp
@@ -60,7 +60,7 @@
     return leader_since_;
   }
   // Leads, and a majority has taken the entry that opened this leadership.
-  [[nodiscard]] auto leadership_settled() const -> bool {
+  [[nodiscard]] auto leadership_established() const -> bool {
     return is_leader() && applied_index_ >= first_own_index_;
   }
   // When a majority last confirmed this leader; never, once it has asked another to run for election.
@@ -102,7 +102,7 @@
 
   // Roles and elections (election.cpp).
   [[nodiscard]] auto may_vote() const -> bool {
-    return log_.founded && log_.members().contains(self_);
+    return log_.initialized && log_.members().contains(self_);
   }
   auto become_follower(term_number new_term, const std::string& new_leader) -> void;
   auto abandon_leadership() -> void;
--- a/src/raft/election.cpp
+++ b/src/raft/election.cpp
@@ -97,7 +97,7 @@
   drop_silent_learners();
   // One gone for good must not count in every majority; none goes by silence alone where few are left.
   auto silent = silent_voters(settings_.failure_timeout * removal_timeouts);
-  auto may_remove = leadership_settled() && !change_pending() && voters().size() > min_voters;
+  auto may_remove = leadership_established() && !change_pending() && voters().size() > min_voters;
   if (may_remove && !silent.empty())
     tasks_.spawn(remove_voter(silent.front()));
 }
@@ -271,7 +271,7 @@
   auto keeps_leader = (is_leader() || host_.now() - last_leader_contact_ < election_timeout_) && !request.transfer;
   // It votes also where this disk is not among the voters of its own log yet: the newest voters may be known to the
   // candidate alone, which counts by disk.
-  if (!log_.founded || request.term < log_.term || keeps_leader)
+  if (!log_.initialized || request.term < log_.term || keeps_leader)
     co_return vote_reply{log_.term, false, self_.disk_id};
   if (request.dry_run)
     co_return vote_reply{log_.term, as_new && request.term > log_.term, self_.disk_id};
--- a/src/raft/log_storage.cpp
+++ b/src/raft/log_storage.cpp
@@ -46,7 +46,7 @@
   disk_id = read.disk_id;
   term = read.term;
   voted_for = read.voted_for;
-  founded = read.founded;
+  initialized = read.initialized;
   auto image = load_snapshot();
   load_entries();
   durable_index = last();
@@ -83,7 +83,7 @@
 }
 
 auto log_storage::save_metadata() -> void {
-  disk_.put(metadata_key, serialize_metadata({disk_id, term, voted_for, founded}));
+  disk_.put(metadata_key, serialize_metadata({disk_id, term, voted_for, initialized}));
 }
 
 auto log_storage::term_at(log_index at) const -> term_number {
@@ -209,14 +209,14 @@
   }
   durable_index = std::max(durable_index, image.index);
   snapshot_index_ = image.index;
-  founded = true;
+  initialized = true;
   save_metadata();
 }
 
 auto log_storage::bootstrap(std::vector<voter> voters) -> void {
   auto first = snapshot{0, 0, {std::move(voters), {}}, {}, nullptr};
   configurations_ = {{0, {first.members, {}}}};
-  founded = true;
+  initialized = true;
   disk_.put(snapshot_key, serialize_snapshot(first));
   save_metadata();
 }
--- a/src/raft/log_storage.hpp
+++ b/src/raft/log_storage.hpp
@@ -98,7 +98,7 @@
   disk_identifier disk_id;
   term_number term;
   std::string voted_for;
-  bool founded = false;
+  bool initialized = false;
   // Entries up to here are known to be synced. It is not kept: what is read from the disk was synced.
   log_index durable_index;
 
--- a/src/raft/membership.cpp
+++ b/src/raft/membership.cpp
@@ -79,7 +79,7 @@
 // One voter more or less shares a majority with the list before it. A replacement is both, and goes through a joint
 // list: nobody leaves before the newcomer is in, and no list is ever longer by one that may be lost again.
 auto consensus::change_voters(std::vector<voter> next, monotonic_time until) -> task<void> {
-  if (!leadership_settled() || transferring_)
+  if (!leadership_established() || transferring_)
     throw retry_after_heartbeat(errc::busy, "the leader is not settled", execution_outcome::not_executed);
   check_no_change_pending();
   auto term = log_.term;
@@ -209,7 +209,7 @@
                         execution_outcome::not_executed);
   }
   // Before an entry of its own term is committed, voters of an earlier change may not be known here.
-  if (!leadership_settled())
+  if (!leadership_established())
     throw retry_after_heartbeat(errc::busy, "the leader is not settled yet", execution_outcome::not_executed);
   check_no_change_pending();
 }
@@ -229,7 +229,7 @@
 
 auto consensus::on_describe(const describe_request& request) const -> describe_reply {
   auto empty = log_.term == 0 && log_.last() == 0;
-  return {self_.disk_id, log_.founded, empty, leader_address_, log_.members().contains(request.asker)};
+  return {self_.disk_id, log_.initialized, empty, leader_address_, log_.members().contains(request.requester)};
 }
 
 }  // namespace reachridge
--- a/src/raft/recovery_test.cpp
+++ b/src/raft/recovery_test.cpp
@@ -42,7 +42,7 @@
 }
 // A state of four megabytes, and a voter without a disk, not started: its name.
 auto empty_one_beside_a_large_state(fleet& cluster) -> std::string {
-  auto follower = another_than(cluster, cluster.leader());
+  auto follower = other_control_node(cluster, cluster.leader());
   fill(cluster, 60);
   churn(cluster, 30);
   cluster.kill(follower);
@@ -73,7 +73,7 @@
     auto cluster = fleet(52, control_nodes_only(3));
     start_all(cluster);
     auto lead = cluster.leader();
-    auto follower = another_than(cluster, lead);
+    auto follower = other_control_node(cluster, lead);
     fill(cluster, 30);
     cluster.kill(follower);
     churn(cluster, 80);
@@ -99,7 +99,7 @@
   auto cluster = fleet(53, control_nodes_only(3));
   start_all(cluster);
   auto lead = cluster.leader();
-  auto follower = another_than(cluster, lead);
+  auto follower = other_control_node(cluster, lead);
   fill(cluster, 30);
   cluster.kill(follower);
   cluster.lose_disk(follower);
@@ -139,7 +139,7 @@
 TEST(raft_recovery, entries_go_over_a_slow_link_in_parts) {
   auto cluster = fleet(57, control_nodes_only(3));
   start_all(cluster);
-  auto follower = another_than(cluster, cluster.leader());
+  auto follower = other_control_node(cluster, cluster.leader());
   cluster.kill(follower);
   churn(cluster, 13);
   cluster.network.latency = 40 * millisecond;
@@ -199,7 +199,7 @@
     cluster.power("all", false);
     cluster.power("all", true);
     auto took = run_until(cluster, 5 * second, [&] {
-      return !cluster.leader().empty() && raft_of(cluster, cluster.leader()).leadership_settled();
+      return !cluster.leader().empty() && raft_of(cluster, cluster.leader()).leadership_established();
     });
     CHECK(took < 5 * second);
     const auto& state = cluster.processes.at(cluster.leader())->control->state;
@@ -219,7 +219,7 @@
   void setup() override {
     start_all(cluster);
     lead = cluster.leader();
-    follower = another_than(cluster, lead);
+    follower = other_control_node(cluster, lead);
     propose(cluster, drain_command("before"));
     run_for(cluster, 200 * millisecond);
     auto content = snapshot{1000,
--- a/src/raft/replacement_test.cpp
+++ b/src/raft/replacement_test.cpp
@@ -63,7 +63,7 @@
   auto cluster = fleet(44 + static_cast<std::uint64_t>(moment / millisecond), control_nodes_only(3));
   start_all(cluster);
   auto lead = cluster.leader();
-  auto lost = another_than(cluster, lead);
+  auto lost = other_control_node(cluster, lead);
   auto answer = propose(cluster, drain_command("kept"));
   run_for(cluster, 200 * millisecond);
   STRCMP_EQUAL("{\"ok\":true}", answer->c_str());
@@ -93,7 +93,7 @@
   auto cluster = fleet(41, control_nodes_only(3));
   start_all(cluster);
   auto lead = cluster.leader();
-  auto other = another_than(cluster, lead);
+  auto other = other_control_node(cluster, lead);
   auto was = raft_of(cluster, lead).voters();
   auto answer = send_request(cluster, lead, join_as(address_of(cluster, other), "another-disk"));
   run_for(cluster, 2 * second);
@@ -114,7 +114,7 @@
     auto cluster = fleet(42, control_nodes_only(3));
     start_all(cluster);
     auto lead = cluster.leader();
-    auto lost = another_than(cluster, lead);
+    auto lost = other_control_node(cluster, lead);
     auto newcomer = lost;
     if (same_address) {
       wipe(cluster, lost);
--- a/src/raft/replication.cpp
+++ b/src/raft/replication.cpp
@@ -267,8 +267,8 @@
   if (previous_missing || (previous_known && log_.term_at(request.previous_index) != request.previous_term))
     co_return refuse_gap(request);
   auto last_sent = append_missing(request);
-  if (!log_.founded && !log_.members().empty()) {
-    log_.founded = true;
+  if (!log_.initialized && !log_.members().empty()) {
+    log_.initialized = true;
     log_.save_metadata();
   }
   if (auto committed = std::min(request.commit_index, last_sent); committed > commit_index_) {
--- a/src/raft/status.cpp
+++ b/src/raft/status.cpp
@@ -46,7 +46,7 @@
   report.snapshot_index = log_.snapshot_index();
   report.log_bytes = log_.bytes();
   report.voters = voter_statuses();
-  report.changing = is_leader() && (change_pending() || !learners_.empty());
+  report.membership_changing = is_leader() && (change_pending() || !learners_.empty());
   report.disk_id = self_.disk_id;
   return encode(report);
 }
--- a/src/raft/test_fleet.hpp
+++ b/src/raft/test_fleet.hpp
@@ -53,7 +53,7 @@
   return cluster.processes.at(name)->control->raft;
 }
 // A control node that does not lead.
-inline auto another_than(const fleet& cluster, const std::string& name) -> std::string {
+inline auto other_control_node(const fleet& cluster, const std::string& name) -> std::string {
   for (const auto& other : cluster.names("queen"))
     if (other != name && cluster.processes.at(other)->up())
       return other;
--- a/src/raft/types.hpp
+++ b/src/raft/types.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "raft/membership.hpp"
-#include "raft/numbers.hpp"
+#include "raft/term_and_index.hpp"
 #include "runtime/value.hpp"
 
 namespace reachridge {
@@ -87,14 +87,14 @@
 
 // Asks a replica what it knows of the log.
 struct describe_request {
-  voter asker;  // may be empty
+  voter requester;  // may be empty
 };
 struct describe_reply {
   disk_identifier disk_id;
-  bool founded = false;
+  bool initialized = false;
   bool empty = true;  // nothing was ever voted or appended there
   std::string leader;
-  bool asker_is_voter = false;
+  bool requester_is_voter = false;
 };
 
 // The answer to a request that has nothing to say but that it was carried out.
@@ -136,7 +136,7 @@
   log_index snapshot_index;
   std::size_t log_bytes = 0;
   std::vector<voter_status> voters;
-  bool changing = false;  // the leader changes the voters or brings one up
+  bool membership_changing = false;  // the leader changes the voters or brings one up
   disk_identifier disk_id;
 };
 
@@ -144,8 +144,8 @@
 struct log_metadata {
   disk_identifier disk_id;
   term_number term;
-  std::string voted_for;  // the address that has this disk's vote in `term`; empty: none yet
-  bool founded = false;   // the disk belongs to a log
+  std::string voted_for;     // the address that has this disk's vote in `term`; empty: none yet
+  bool initialized = false;  // the disk belongs to a log
 };
 
 }  // namespace reachridge
--- a/tools/simulator/capacity.cpp
+++ b/tools/simulator/capacity.cpp
@@ -206,10 +206,10 @@
   }
   auto whole() -> bool {
     const auto& law = lead().state;
-    auto founded = std::count_if(law.partitions.begin(), law.partitions.end(), [](auto& c) {
+    auto initialized = std::count_if(law.partitions.begin(), law.partitions.end(), [](auto& c) {
       return c.second.epoch > 0;
     });
-    if (founded < at.partitions)
+    if (initialized < at.partitions)
       return false;
     auto known = [&](const cluster_view& v) {
       auto n = std::size_t{0};
--- a/tools/simulator/log_model.cpp
+++ b/tools/simulator/log_model.cpp
@@ -252,7 +252,7 @@
     check([&] {
       invariants_.leads(one.log->disk_id(), term);
     });
-    if (one.log->leadership_settled())
+    if (one.log->leadership_established())
       check([&] {
         invariants_.must_hold("leader-complete", one.state->index, world_.clock, one.name);
       });
@@ -353,7 +353,7 @@
         invariants_.active_voters(one->log->members(), one->name);
       if (++checks_ % progress_check_every == 0)
         check_progress(*one);
-      auto serves = one->log->leadership_settled() && world_.clock < one->log->last_quorum_contact() + served_for &&
+      auto serves = one->log->leadership_established() && world_.clock < one->log->last_quorum_contact() + served_for &&
                     !one->host->frozen;
       if (serves)
         invariants_.must_hold("served-within-bound", one->state->index, world_.clock - served_bound, one->name);
