--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -1,4 +1,4 @@
-// Field names and checks of the replicated log's messages; see codec.hpp.
+// Field names and validation of the replicated log's messages and stored records; see codec.hpp.
 #include "raft/codec.hpp"
 
 #include <algorithm>
@@ -24,22 +24,24 @@
                                             operation_name{raft_operation::join, "l.enter"},
                                             operation_name{raft_operation::describe, "l.who"}};
 
-// Reads the fields of one message and names it in each refusal.
-class field_reader {
+// Reads the fields of one message. Each accessor checks the type and range of the field and throws `errc::malformed`
+// with the names of the message and the field. Holds references: the message and its name must outlive the reader.
+class message_reader {
  public:
-  field_reader(const value& source, const char* message) : source_(source), name_(message) {
-    if (!source_.is_object())
-      refuse("message", "is no map");
+  message_reader(const value& message, const char* message_name) : message_(message), message_name_(message_name) {
+    if (!message_.is_object())
+      reject("message", "is no map");
   }
-  [[nodiscard]] auto number(const char* key, std::int64_t least, std::int64_t most) const -> std::int64_t {
-    const auto& value = get_value(source_, key);
-    if (!value.is_int64())
-      refuse(key, "is no number");
-    return in_range(key, value.get_int64(), least, most);
+  [[nodiscard]] auto number(const char* key, std::int64_t min_value, std::int64_t max_value) const -> std::int64_t {
+    const auto& field = get_value(message_, key);
+    if (!field.is_int64())
+      reject(key, "is no number");
+    return check_range(key, field.get_int64(), min_value, max_value);
   }
-  [[nodiscard]] auto number_or(const char* key, std::int64_t other, std::int64_t least, std::int64_t most) const
-      -> std::int64_t {
-    return get_value(source_, key).is_null() ? other : number(key, least, most);
+  // Returns `fallback` if the field is missing.
+  [[nodiscard]] auto number_or(const char* key, std::int64_t fallback, std::int64_t min_value,
+                               std::int64_t max_value) const -> std::int64_t {
+    return get_value(message_, key).is_null() ? fallback : number(key, min_value, max_value);
   }
   [[nodiscard]] auto term(const char* key = "term") const -> term_number {
     return number(key, 0, max_term.get());
@@ -48,89 +50,95 @@
     return number(key, 0, max_index.get());
   }
   [[nodiscard]] auto string(const char* key) const -> std::string {
-    const auto& value = get_value(source_, key);
-    if (!value.is_string())
-      refuse(key, "is no string");
-    return std::string(value.get_string());
+    const auto& field = get_value(message_, key);
+    if (!field.is_string())
+      reject(key, "is no string");
+    return std::string(field.get_string());
   }
-  [[nodiscard]] auto string_or(const char* key) const -> std::string {
-    return get_value(source_, key).is_null() ? std::string() : string(key);
+  [[nodiscard]] auto string_or_empty(const char* key) const -> std::string {
+    return get_value(message_, key).is_null() ? std::string() : string(key);
   }
-  [[nodiscard]] auto filled(const char* key) const -> std::string {
-    auto out = string(key);
-    if (out.empty())
-      refuse(key, "is empty");
-    return out;
+  [[nodiscard]] auto non_empty_string(const char* key) const -> std::string {
+    auto text = string(key);
+    if (text.empty())
+      reject(key, "is empty");
+    return text;
   }
+  // Returns false if the field is missing.
   [[nodiscard]] auto flag(const char* key) const -> bool {
-    const auto& value = get_value(source_, key);
-    if (value.is_null())
+    const auto& field = get_value(message_, key);
+    if (field.is_null())
       return false;
-    if (!value.is_bool())
-      refuse(key, "is neither true nor false");
-    return value.get_bool();
+    if (!field.is_bool())
+      reject(key, "is neither true nor false");
+    return field.get_bool();
   }
-  [[nodiscard]] auto rows(const char* key) const -> const array& {
-    const auto& value = get_value(source_, key);
-    if (!value.is_array())
-      refuse(key, "is no list");
-    return value.get_array();
+  [[nodiscard]] auto list(const char* key) const -> const array& {
+    const auto& field = get_value(message_, key);
+    if (!field.is_array())
+      reject(key, "is no list");
+    return field.get_array();
   }
-  [[noreturn]] auto refuse(const char* key, const char* why) const -> void {
-    throw request_error(errc::malformed, std::string(name_) + ": " + key + " " + why);
+  [[noreturn]] auto reject(const char* key, const char* reason) const -> void {
+    throw request_error(errc::malformed, std::string(message_name_) + ": " + key + " " + reason);
   }
 
  private:
-  [[nodiscard]] auto in_range(const char* key, std::int64_t value, std::int64_t least, std::int64_t most) const
-      -> std::int64_t {
-    if (value < least || value > most)
-      refuse(key, "is out of range");
+  [[nodiscard]] auto check_range(const char* key, std::int64_t value, std::int64_t min_value,
+                                 std::int64_t max_value) const -> std::int64_t {
+    if (value < min_value || value > max_value)
+      reject(key, "is out of range");
     return value;
   }
-  const value& source_;
-  const char* name_;
+  const value& message_;
+  const char* message_name_;
 };
 
-auto decode_voters(const field_reader& reader, const char* key) -> std::vector<voter> {
+// Decodes a list of voters. The list must have at least one voter, and no address may occur twice.
+auto decode_voters(const message_reader& reader, const char* key) -> std::vector<voter> {
   auto voters = std::vector<voter>();
   auto addresses = std::set<std::string>();
-  for (const auto& row : reader.rows(key)) {
-    auto voter_reader = field_reader(row, "voter");
-    voters.push_back({voter_reader.filled("addr"), voter_reader.filled("id")});
+  for (const auto& element : reader.list(key)) {
+    auto voter_reader = message_reader(element, "voter");
+    voters.push_back({voter_reader.non_empty_string("addr"), voter_reader.non_empty_string("id")});
     if (!addresses.insert(voters.back().address).second)
-      reader.refuse(key, "names an address twice");
+      reader.reject(key, "names an address twice");
   }
   if (voters.empty())
-    reader.refuse(key, "names nobody");
+    reader.reject(key, "names nobody");
   return voters;
 }
 
-auto put_membership(object& out, const membership& members) -> void {
-  out["panel"] = to_value(members.voters);
+// Adds the fields of a membership to a command or a snapshot. The outgoing voters are present only while the membership
+// is joint.
+auto put_membership(object& target, const membership& members) -> void {
+  target["panel"] = to_value(members.voters);
   if (members.joint())
-    out["old"] = to_value(members.outgoing);
+    target["old"] = to_value(members.outgoing);
 }
 
-auto decode_membership(const value& source) -> std::optional<membership> {
-  if (get_value(source, "panel").is_null())
+// Returns nothing if the command or snapshot does not have the fields of a membership.
+auto decode_membership(const value& content) -> std::optional<membership> {
+  if (get_value(content, "panel").is_null())
     return {};
-  auto reader = field_reader(source, "voters");
+  auto reader = message_reader(content, "voters");
   auto members = membership{decode_voters(reader, "panel"), {}};
-  if (!get_value(source, "old").is_null())
+  if (!get_value(content, "old").is_null())
     members.outgoing = decode_voters(reader, "old");
   return members;
 }
 
-// One entry of an append request. The terms of entries never fall, and none is above the leader's.
-auto decode_entry(const value& row, term_number least, term_number most) -> entry_message {
-  auto reader = field_reader(row, "append_entries' entry");
+// Decodes one entry of an append request. The term of an entry is neither lower than the term of the entry before it
+// nor higher than the leader's term.
+auto decode_entry(const value& message, term_number previous_term, term_number leader_term) -> entry_message {
+  auto reader = message_reader(message, "append_entries' entry");
   auto term = reader.term("t");
-  if (term < least || term > most)
-    reader.refuse("t", "is out of range");
-  const auto& command = get_value(row, "d");
+  if (term < previous_term || term > leader_term)
+    reader.reject("t", "is out of range");
+  const auto& command = get_value(message, "d");
   if (!command.is_object())
-    reader.refuse("d", "is no command");
-  decode_membership_command(command);  // voters that are malformed are refused here, before the entry is in the log
+    reader.reject("d", "is no command");
+  decode_membership_command(command);  // rejects malformed voters before the entry is appended to the log
   return {term, command};
 }
 
@@ -138,44 +146,44 @@
 
 auto name_of(raft_operation operation) -> std::string_view {
   return std::find_if(operation_names.begin(), operation_names.end(),
-                      [&](const operation_name& row) {
-                        return row.operation == operation;
+                      [&](const operation_name& known) {
+                        return known.operation == operation;
                       })
       ->name;
 }
 
 auto decode_operation(std::string_view name) -> raft_operation {
-  const auto* row = std::find_if(operation_names.begin(), operation_names.end(), [&](const operation_name& known) {
+  const auto* found = std::find_if(operation_names.begin(), operation_names.end(), [&](const operation_name& known) {
     return known.name == name;
   });
-  if (row == operation_names.end())
+  if (found == operation_names.end())
     throw request_error(errc::malformed, "unknown request " + std::string(name));
-  return row->operation;
+  return found->operation;
 }
 
 auto to_value(const std::vector<voter>& voters) -> value {
-  auto rows = array();
-  for (const auto& one : voters)
-    rows.push_back(object{{"addr", one.address}, {"id", one.disk_id}});
-  return rows;
+  auto encoded = array();
+  for (const auto& member : voters)
+    encoded.push_back(object{{"addr", member.address}, {"id", member.disk_id}});
+  return encoded;
 }
 
 auto encode(const membership_command& command) -> value {
-  auto out = object();
-  put_membership(out, command.members);
+  auto encoded = object();
+  put_membership(encoded, command.members);
   if (command.log_id)
-    out["realm"] = *command.log_id;
-  return out;
+    encoded["realm"] = *command.log_id;
+  return encoded;
 }
 
 auto decode_membership_command(const value& command) -> std::optional<membership_command> {
   auto members = decode_membership(command);
   if (!members)
     return {};
-  auto out = membership_command{std::move(*members), {}};
+  auto decoded = membership_command{std::move(*members), {}};
   if (const auto& log_id = get_value(command, "realm"); log_id.is_string())
-    out.log_id = get_string(command, "realm");
-  return out;
+    decoded.log_id = get_string(command, "realm");
+  return decoded;
 }
 
 auto is_membership_command(const value& command) -> bool {
@@ -193,11 +201,11 @@
 }
 
 auto decode_vote_request(const value& message) -> vote_request {
-  auto reader = field_reader(message, "request_vote");
-  auto request = vote_request{reader.filled("from"),    reader.term(),      reader.index("last"),
-                              reader.term("last_term"), reader.flag("dry"), reader.flag("go")};
+  auto reader = message_reader(message, "request_vote");
+  auto request = vote_request{reader.non_empty_string("from"), reader.term(),      reader.index("last"),
+                              reader.term("last_term"),        reader.flag("dry"), reader.flag("go")};
   if (request.last_term > request.term)
-    reader.refuse("last_term", "is above the term");
+    reader.reject("last_term", "is above the term");
   return request;
 }
 
@@ -206,14 +214,14 @@
 }
 
 auto decode_vote_reply(const value& message) -> vote_reply {
-  auto reader = field_reader(message, "request_vote's answer");
+  auto reader = message_reader(message, "request_vote's answer");
   return {reader.term(), reader.flag("ok"), reader.string("id")};
 }
 
 auto encode(const append_request& request) -> value {
-  auto rows = array();
+  auto entries = array();
   for (const auto& entry : request.entries)
-    rows.push_back(object{{"t", entry.term.get()}, {"d", entry.command}});
+    entries.push_back(object{{"t", entry.term.get()}, {"d", entry.command}});
   return object{{"op", name_of(raft_operation::append_entries)},
                 {"term", request.term.get()},
                 {"lead", request.leader},
@@ -221,37 +229,37 @@
                 {"prev", request.previous_index.get()},
                 {"prev_term", request.previous_term.get()},
                 {"commit", request.commit_index.get()},
-                {"rows", std::move(rows)}};
+                {"rows", std::move(entries)}};
 }
 
 auto decode_append_request(const value& message) -> append_request {
-  auto reader = field_reader(message, "append_entries");
+  auto reader = message_reader(message, "append_entries");
   auto request = append_request{reader.term(),
-                                reader.filled("lead"),
-                                reader.string_or("to"),
+                                reader.non_empty_string("lead"),
+                                reader.string_or_empty("to"),
                                 reader.index("prev"),
                                 reader.number("prev_term", unknown_term.get(), max_term.get()),
                                 reader.index("commit"),
                                 {}};
-  auto least_term = std::max(request.previous_term, term_number(0));
-  for (const auto& row : reader.rows("rows")) {
-    request.entries.push_back(decode_entry(row, least_term, request.term));
-    least_term = request.entries.back().term;
+  auto previous_term = std::max(request.previous_term, term_number(0));
+  for (const auto& entry : reader.list("rows")) {
+    request.entries.push_back(decode_entry(entry, previous_term, request.term));
+    previous_term = request.entries.back().term;
   }
   return request;
 }
 
 auto encode(const append_reply& reply) -> value {
-  auto out = object{{"term", reply.term.get()}, {"ok", reply.success}, {"id", reply.disk_id}};
+  auto encoded = object{{"term", reply.term.get()}, {"ok", reply.success}, {"id", reply.disk_id}};
   if (reply.success)
-    out["match"] = reply.match_index.get();
+    encoded["match"] = reply.match_index.get();
   if (reply.next_index_hint > 0)
-    out["hint"] = reply.next_index_hint.get();
-  return out;
+    encoded["hint"] = reply.next_index_hint.get();
+  return encoded;
 }
 
 auto decode_append_reply(const value& message) -> append_reply {
-  auto reader = field_reader(message, "append_entries' answer");
+  auto reader = message_reader(message, "append_entries' answer");
   auto reply = append_reply{reader.term(), reader.flag("ok"), reader.string("id"), 0, 0};
   if (reply.success)
     reply.match_index = reader.index("match");
@@ -274,20 +282,20 @@
 }
 
 auto decode_snapshot_chunk(const value& message) -> snapshot_chunk {
-  auto reader = field_reader(message, "install_snapshot");
+  auto reader = message_reader(message, "install_snapshot");
   auto chunk = snapshot_chunk();
   chunk.term = reader.term();
-  chunk.leader = reader.filled("lead");
-  chunk.target_disk = reader.filled("to");
+  chunk.leader = reader.non_empty_string("lead");
+  chunk.target_disk = reader.non_empty_string("to");
   chunk.index = reader.number("idx", 1, max_index.get());
   chunk.index_term = reader.number("idx_term", 0, chunk.term.get());
   chunk.size = reader.number("size", 1, max_snapshot_bytes);
   chunk.checksum = reader.number("sum", 0, std::int64_t{UINT32_MAX});
   chunk.offset = reader.number("offset", 0, chunk.size - 1);
-  chunk.data = reader.filled("data");
+  chunk.data = reader.non_empty_string("data");
   auto length = static_cast<std::int64_t>(chunk.data.size());
   if (length > max_chunk_bytes || chunk.offset + length > chunk.size)
-    reader.refuse("data", "is too long");
+    reader.reject("data", "is too long");
   return chunk;
 }
 
@@ -300,7 +308,7 @@
 }
 
 auto decode_snapshot_reply(const value& message) -> snapshot_reply {
-  auto reader = field_reader(message, "install_snapshot's answer");
+  auto reader = message_reader(message, "install_snapshot's answer");
   return {reader.term(), reader.flag("ok"), reader.string("id"), reader.number("next", 0, max_snapshot_bytes),
           reader.flag("installed")};
 }
@@ -313,8 +321,8 @@
 }
 
 auto decode_join_request(const value& message) -> join_request {
-  auto reader = field_reader(message, "join");
-  return {{reader.filled("addr"), reader.filled("id")}, reader.string_or("realm")};
+  auto reader = message_reader(message, "join");
+  return {{reader.non_empty_string("addr"), reader.non_empty_string("id")}, reader.string_or_empty("realm")};
 }
 
 auto encode(const describe_request& request) -> value {
@@ -324,8 +332,8 @@
 }
 
 auto decode_describe_request(const value& message) -> describe_request {
-  auto reader = field_reader(message, "describe");
-  return {{reader.string_or("addr"), reader.string_or("id")}};
+  auto reader = message_reader(message, "describe");
+  return {{reader.string_or_empty("addr"), reader.string_or_empty("id")}};
 }
 
 auto encode(const describe_reply& reply) -> value {
@@ -337,8 +345,8 @@
 }
 
 auto decode_describe_reply(const value& message) -> describe_reply {
-  auto reader = field_reader(message, "describe's answer");
-  return {reader.filled("id"), reader.flag("founded"), reader.flag("empty"), reader.string_or("lead"),
+  auto reader = message_reader(message, "describe's answer");
+  return {reader.non_empty_string("id"), reader.flag("founded"), reader.flag("empty"), reader.string_or_empty("lead"),
           reader.flag("mate")};
 }
 
@@ -347,7 +355,7 @@
 }
 
 auto decode_timeout_now_request(const value& message) -> timeout_now_request {
-  return {field_reader(message, "timeout_now").term()};
+  return {message_reader(message, "timeout_now").term()};
 }
 
 auto encode(const acknowledgement&) -> value {
@@ -355,15 +363,15 @@
 }
 
 auto encode(const raft_status& status) -> value {
-  auto rows = array();
-  for (const auto& one : status.voters) {
-    auto row = object{{"addr", one.who.address}, {"id", one.who.disk_id}};
-    if (one.contact) {
-      row["seat"] = one.contact->standing;
-      row["behind"] = one.contact->behind;
-      row["silent_ms"] = one.contact->silent_ms;
+  auto voters = array();
+  for (const auto& member : status.voters) {
+    auto encoded = object{{"addr", member.who.address}, {"id", member.who.disk_id}};
+    if (member.contact) {
+      encoded["seat"] = member.contact->standing;
+      encoded["behind"] = member.contact->behind;
+      encoded["silent_ms"] = member.contact->silent_ms;
     }
-    rows.push_back(std::move(row));
+    voters.push_back(std::move(encoded));
   }
   return object{{"role", status.role},
                 {"leader", status.leader},
@@ -373,7 +381,7 @@
                 {"applied", status.applied_index.get()},
                 {"base", status.snapshot_index.get()},
                 {"bytes", status.log_bytes},
-                {"voters", std::move(rows)},
+                {"voters", std::move(voters)},
                 {"changing", status.membership_changing},
                 {"disk", status.disk_id}};
 }
@@ -404,19 +412,19 @@
 }
 
 auto serialize_snapshot(const snapshot& image) -> std::string {
-  auto out =
+  auto content =
       object{{"idx", image.index.get()}, {"term", image.term.get()}, {"realm", image.log_id}, {"state", image.state}};
-  put_membership(out, image.members);
-  return encode_with_checksum(out);
+  put_membership(content, image.members);
+  return encode_with_checksum(content);
 }
 
 auto deserialize_snapshot(std::string_view bytes) -> snapshot {
   auto content = decode_with_checksum(bytes);
-  auto reader = field_reader(content, "snapshot");
+  auto reader = message_reader(content, "snapshot");
   auto members = decode_membership(content);
   if (!members)
-    reader.refuse("panel", "is lacking");
-  return {reader.index("idx"), reader.term(), *members, reader.string_or("realm"), get_value(content, "state")};
+    reader.reject("panel", "is lacking");
+  return {reader.index("idx"), reader.term(), *members, reader.string_or_empty("realm"), get_value(content, "state")};
 }
 
 auto checksum_of(std::string_view bytes) -> std::int64_t {
--- a/src/raft/codec.hpp
+++ b/src/raft/codec.hpp
@@ -1,6 +1,7 @@
-// The one place that knows how messages, commands and snapshots of the replicated log stand on the wire and on disk.
-// Each field is checked when it is read: what is out of range, of a wrong type or missing is refused as
-// `errc::malformed` with the names of the message and the field, before anything changes.
+// Encoding of the replicated log's messages, commands, snapshots and stored records. No other file knows their layout
+// on the wire and on disk.
+// Decoding checks each field. A field that is missing, out of range or of the wrong type throws `errc::malformed` with
+// the names of the message and the field, before any state changes.
 #pragma once
 #include <optional>
 #include <string>
@@ -13,10 +14,11 @@
 
 constexpr auto max_term = term_number(std::int64_t{1} << 48);
 constexpr auto max_index = log_index(std::int64_t{1} << 56);
-constexpr auto max_snapshot_bytes = std::int64_t{64} << 20;  // bytes of one snapshot
-constexpr auto max_chunk_bytes = std::int64_t{1} << 20;      // bytes of one part of it
+constexpr auto max_snapshot_bytes = std::int64_t{64} << 20;  // size of a serialized snapshot
+constexpr auto max_chunk_bytes = std::int64_t{1} << 20;      // data of one snapshot chunk
 
-// The name of an operation in a request, and back. Throws `errc::malformed` on a name that is unknown.
+// Converts between an operation and its name in the "op" field of a request. `decode_operation` throws
+// `errc::malformed` if the name is unknown.
 auto name_of(raft_operation operation) -> std::string_view;
 auto decode_operation(std::string_view name) -> raft_operation;
 
@@ -31,7 +33,7 @@
 auto encode(const describe_reply& reply) -> value;
 auto encode(const timeout_now_request& request) -> value;
 auto encode(const acknowledgement& reply) -> value;
-auto encode(const raft_status& status) -> value;  // for pages; nothing reads it back
+auto encode(const raft_status& status) -> value;  // for status pages; has no decoder
 
 auto decode_vote_request(const value& message) -> vote_request;
 auto decode_vote_reply(const value& message) -> vote_reply;
@@ -44,24 +46,27 @@
 auto decode_describe_reply(const value& message) -> describe_reply;
 auto decode_timeout_now_request(const value& message) -> timeout_now_request;
 
-// Commands that name voters. `decode_configuration` gives none where a command is the state machine's own, and throws
-// where the voters are malformed; `is_configuration` only tells the two apart, for an entry that was checked before.
+// Commands that change the voters. `decode_membership_command` returns nothing for a command of the state machine and
+// throws `errc::malformed` if the list of voters is malformed. `is_membership_command` does not validate the list; use
+// it only for entries that have been decoded before.
 auto encode(const membership_command& command) -> value;
 auto decode_membership_command(const value& command) -> std::optional<membership_command>;
 auto is_membership_command(const value& command) -> bool;
 auto to_value(const std::vector<voter>& voters) -> value;
 
-// Metadata and entries as they are stored, with a checksum each. Unsealing throws `decode_error` on what is altered or
-// lacks a field, and `errc::damaged` on metadata of another format.
+// The stored form of the metadata and of an entry; each record has its own checksum. Deserializing throws
+// `decode_error` if the record is corrupt or lacks a field, and `errc::damaged` if the metadata has another format
+// version.
 auto serialize_metadata(const log_metadata& metadata) -> std::string;
 auto deserialize_metadata(std::string_view bytes) -> log_metadata;
 auto serialize_entry(term_number term, const value& command) -> std::string;
 auto deserialize_entry(std::string_view bytes) -> entry_message;
 
-// A snapshot as it is stored and sent. Unsealing throws `decode_error` on what is truncated or altered, and
-// `errc::malformed` on what is whole and is no snapshot.
+// The form in which a snapshot is stored and sent. Deserializing throws `decode_error` if the bytes are truncated or
+// corrupt, and `errc::malformed` if they are intact but do not contain a snapshot.
 auto serialize_snapshot(const snapshot& image) -> std::string;
 auto deserialize_snapshot(std::string_view bytes) -> snapshot;
+// Returns the CRC-32 of the bytes.
 auto checksum_of(std::string_view bytes) -> std::int64_t;
 
 }  // namespace reachridge
