--- a/src/raft/follower_progress.cpp
+++ b/src/raft/follower_progress.cpp
@@ -1,11 +1,12 @@
+// Bookkeeping for replies of one follower; see follower_progress.hpp.
 #include "raft/follower_progress.hpp"
 
 #include <algorithm>
 
 namespace reachridge {
 
-auto follower_progress::note_answer(const voter& follower, const disk_identifier& answering_disk,
-                                    monotonic_time sent_at) -> bool {
+auto follower_progress::record_contact(const voter& follower, const disk_identifier& answering_disk,
+                                       monotonic_time sent_at) -> bool {
   different_disk_answered = answering_disk != follower.disk_id;
   if (different_disk_answered)
     return false;
@@ -15,7 +16,7 @@
 
 auto follower_progress::handle_append_reply(const voter& follower, const append_reply& reply, log_index last_index,
                                             monotonic_time sent_at) -> bool {
-  if (!note_answer(follower, reply.disk_id, sent_at))
+  if (!record_contact(follower, reply.disk_id, sent_at))
     return false;
   if (reply.success) {
     auto match = std::min(reply.match_index, last_index);
@@ -30,7 +31,7 @@
 
 auto follower_progress::handle_snapshot_reply(const voter& follower, const snapshot_reply& reply,
                                               monotonic_time sent_at) -> bool {
-  return note_answer(follower, reply.disk_id, sent_at);
+  return record_contact(follower, reply.disk_id, sent_at);
 }
 
 auto follower_progress::advance_transfer(const snapshot_image& image, const snapshot_reply& reply) -> void {
@@ -43,11 +44,11 @@
   transfer.reset();
 }
 
-auto follower_progress::adapt_window(monotonic_time took, monotonic_time election_timeout, std::size_t min_window_bytes)
-    -> void {
-  if (took > election_timeout * 3 / 4)
+auto follower_progress::adapt_window(monotonic_time response_time, monotonic_time election_timeout,
+                                     std::size_t min_window_bytes) -> void {
+  if (response_time > election_timeout * 3 / 4)
     window = std::max(window / 2, min_window_bytes);
-  else if (took < election_timeout / 2)
+  else if (response_time < election_timeout / 2)
     window = std::min(window * 2, max_window_bytes);
 }
 
--- a/src/raft/snapshot_assembly.hpp
+++ b/src/raft/snapshot_assembly.hpp
@@ -1,4 +1,5 @@
-// The parts of a snapshot that have come so far. Plain state; on_snapshot_chunk in snapshot.cpp drives it.
+// Assembles the chunks of a snapshot that a follower receives from its leader. This class performs no I/O;
+// on_snapshot_chunk in snapshot.cpp is its only user.
 #pragma once
 #include <optional>
 #include <string>
@@ -10,50 +11,51 @@
 
 class snapshot_assembly {
  public:
-  struct whole {
-    log_index index;  // as the parts named them
-    term_number term;
+  struct assembled_snapshot {
+    log_index index;   // last entry that the snapshot covers, according to the chunks
+    term_number term;  // term of that entry, according to the chunks
     std::string bytes;
   };
 
-  // Takes a part if it begins where the last one ended. A part of another snapshot begins a new transfer.
-  // False: it is out of order, doubled, or of a snapshot whose beginning is not here.
+  // Appends a chunk if it begins where the previous chunk ended. A chunk of another snapshot discards the chunks
+  // received before. Returns false if the chunk is out of order, a duplicate, or not the first chunk of a new snapshot.
   auto add(const snapshot_chunk& chunk) -> bool {
-    if (!continues(chunk))
+    if (!belongs_to_current(chunk))
       start(chunk);
     if (chunk.offset != received())
       return false;
-    parts_.bytes += chunk.data;
+    snapshot_.bytes += chunk.data;
     return true;
   }
-  // Bytes that are here, which is the offset of the part that is wanted next.
+  // Number of bytes received; this is also the offset of the next chunk to request.
   [[nodiscard]] auto received() const -> std::int64_t {
-    return static_cast<std::int64_t>(parts_.bytes.size());
+    return static_cast<std::int64_t>(snapshot_.bytes.size());
   }
   [[nodiscard]] auto complete() const -> bool {
-    return received() >= size_;
+    return received() >= total_size_;
   }
-  // Gives what has come and forgets it.
-  auto release() -> whole {
-    active_ = false;
-    return std::exchange(parts_, {});
+  // Returns the assembled snapshot and clears the assembly.
+  auto release() -> assembled_snapshot {
+    assembling_ = false;
+    return std::exchange(snapshot_, {});
   }
 
  private:
-  [[nodiscard]] auto continues(const snapshot_chunk& chunk) const -> bool {
-    return active_ && parts_.index == chunk.index && parts_.term == chunk.index_term && size_ == chunk.size &&
-           checksum_ == chunk.checksum;
+  // Whether the chunk belongs to the snapshot that is being assembled.
+  [[nodiscard]] auto belongs_to_current(const snapshot_chunk& chunk) const -> bool {
+    return assembling_ && snapshot_.index == chunk.index && snapshot_.term == chunk.index_term &&
+           total_size_ == chunk.size && checksum_ == chunk.checksum;
   }
   auto start(const snapshot_chunk& chunk) -> void {
-    active_ = true;
-    parts_ = {chunk.index, chunk.index_term, {}};
-    size_ = chunk.size;
+    assembling_ = true;
+    snapshot_ = {chunk.index, chunk.index_term, {}};
+    total_size_ = chunk.size;
     checksum_ = chunk.checksum;
   }
 
-  bool active_ = false;
-  whole parts_;
-  std::int64_t size_ = 0;
+  bool assembling_ = false;  // a snapshot is being assembled
+  assembled_snapshot snapshot_;
+  std::int64_t total_size_ = 0;  // bytes of the complete snapshot
   std::int64_t checksum_ = 0;
 };
 
