--- a/src/raft/log_storage.cpp
+++ b/src/raft/log_storage.cpp
@@ -1,5 +1,6 @@
-// Entries, metadata and snapshots on disk; see log_storage.hpp. Writes become durable in their order, so a snapshot is
-// always written before the entries that it replaces are erased: no loss of power finds neither.
+// Storage of entries, metadata and snapshots; see log_storage.hpp. Writes become durable in the order in which they are
+// made. A snapshot is therefore written before the entries that it covers are erased, so that a power failure at any
+// time leaves the snapshot, the entries or both on disk.
 #include "raft/log_storage.hpp"
 
 #include <algorithm>
@@ -18,12 +19,12 @@
   std::snprintf(buffer, sizeof buffer, "%016llx", static_cast<unsigned long long>(value));
   return buffer;
 }
-auto entry_key(log_index at) -> std::string {
-  return entry_prefix + hexadecimal(static_cast<std::uint64_t>(at.get()));
+auto entry_key(log_index index) -> std::string {
+  return entry_prefix + hexadecimal(static_cast<std::uint64_t>(index.get()));
 }
-auto index_in(const std::string& entry_key) -> log_index {
+auto index_from_key(const std::string& key) -> log_index {
   constexpr auto hexadecimal_base = 16;
-  auto digits = entry_key.substr(std::string_view(entry_prefix).size());
+  auto digits = key.substr(std::string_view(entry_prefix).size());
   return static_cast<std::int64_t>(std::stoull(digits, nullptr, hexadecimal_base));
 }
 
@@ -32,21 +33,21 @@
 auto log_storage::load(std::uint64_t fresh_id) -> std::optional<snapshot> {
   auto metadata = disk_.get(metadata_key);
   if (!metadata) {
-    auto had = false;
+    auto has_other_records = false;
     disk_.scan("L/", [&](const std::string&, const std::string&) {
-      had = true;
+      has_other_records = true;
     });
-    if (had)
+    if (has_other_records)
       throw request_error(errc::damaged, "the ledger's folder lacks its first record");
     disk_id = hexadecimal(fresh_id);
     save_metadata();
     return {};
   }
-  auto read = deserialize_metadata(*metadata);
-  disk_id = read.disk_id;
-  term = read.term;
-  voted_for = read.voted_for;
-  initialized = read.initialized;
+  auto stored = deserialize_metadata(*metadata);
+  disk_id = stored.disk_id;
+  term = stored.term;
+  voted_for = stored.voted_for;
+  initialized = stored.initialized;
   auto image = load_snapshot();
   load_entries();
   durable_index = last();
@@ -61,23 +62,24 @@
   snapshot_bytes_ = bytes->size();
   base_index_ = snapshot_index_ = image.index;
   base_term_ = image.term;
-  configurations_ = {{base_index_, {image.members, image.log_id}}};
+  memberships_ = {{base_index_, {image.members, image.log_id}}};
   return image;
 }
 
 auto log_storage::load_entries() -> void {
   auto stale = std::vector<std::string>();
   disk_.scan(entry_prefix, [&](const std::string& key, const std::string& bytes) {
-    auto at = index_in(key);
-    if (at <= base_index_)
+    auto index = index_from_key(key);
+    if (index <= base_index_)
       return stale.push_back(key);
-    if (at != last() + 1)
+    if (index != last() + 1)
       throw request_error(errc::damaged, "the ledger lacks entry " + to_string(last() + 1));
     auto entry = deserialize_entry(bytes);
-    push(entry.term, encode_cbor(entry.command));
-    record_configuration(at, entry.command);
+    push_entry(entry.term, encode_cbor(entry.command));
+    record_membership(index, entry.command);
   });
-  // Power was lost between a snapshot and the erasing of what it covers: it is erased now.
+  // A power failure after a snapshot was written, and before the entries that it covers were erased, leaves these
+  // entries on disk.
   for (auto& key : stale)
     disk_.erase(std::move(key));
 }
@@ -86,59 +88,59 @@
   disk_.put(metadata_key, serialize_metadata({disk_id, term, voted_for, initialized}));
 }
 
-auto log_storage::term_at(log_index at) const -> term_number {
-  if (at == base_index_)
+auto log_storage::term_at(log_index index) const -> term_number {
+  if (index == base_index_)
     return base_term_;
-  if (at < base_index_ || at > last())
+  if (index < base_index_ || index > last())
     return unknown_term;
-  return entry_at(at).term;
+  return entry_at(index).term;
 }
 
-auto log_storage::entry_at(log_index at) const -> const entry& {
-  return entries_.at(static_cast<std::size_t>(at - base_index_ - 1));
+auto log_storage::entry_at(log_index index) const -> const entry& {
+  return entries_.at(static_cast<std::size_t>(index - base_index_ - 1));
 }
 
-auto log_storage::members_at(log_index at) const -> const membership& {
-  auto after = configurations_.upper_bound(at);
-  if (after == configurations_.begin())
-    return after->second.members;
-  return std::prev(after)->second.members;
+auto log_storage::members_at(log_index index) const -> const membership& {
+  auto next = memberships_.upper_bound(index);
+  if (next == memberships_.begin())
+    return next->second.members;
+  return std::prev(next)->second.members;
 }
 
-auto log_storage::record_configuration(log_index at, const value& command) -> void {
-  auto read = decode_membership_command(command);
-  if (!read)
+auto log_storage::record_membership(log_index index, const value& command) -> void {
+  auto decoded = decode_membership_command(command);
+  if (!decoded)
     return;
-  // A log is named once, by the first entry of its first leader.
-  auto id = log_id().empty() ? read->log_id.value_or("") : log_id();
-  configurations_[at] = {std::move(read->members), std::move(id)};
+  // The first leader's first entry sets the identifier of the log, which does not change afterwards.
+  auto id = log_id().empty() ? decoded->log_id.value_or("") : log_id();
+  memberships_[index] = {std::move(decoded->members), std::move(id)};
 }
 
-auto log_storage::push(term_number entry_term, std::string command) -> void {
-  auto before = entries_.empty() ? base_bytes_ : entries_.back().total_bytes;
+auto log_storage::push_entry(term_number entry_term, std::string command) -> void {
+  auto previous_total = entries_.empty() ? base_bytes_ : entries_.back().total_bytes;
   auto size = command.size();
-  entries_.push_back({entry_term, std::move(command), before + size});
+  entries_.push_back({entry_term, std::move(command), previous_total + size});
 }
 
-auto log_storage::bytes_between(log_index from, log_index upto) const -> std::size_t {
-  auto total_at = [this](log_index at) {
-    return at <= base_index_ ? base_bytes_ : entry_at(at).total_bytes;
+auto log_storage::bytes_between(log_index from, log_index through) const -> std::size_t {
+  auto total_at = [this](log_index index) {
+    return index <= base_index_ ? base_bytes_ : entry_at(index).total_bytes;
   };
-  return total_at(upto) - total_at(from);
+  return total_at(through) - total_at(from);
 }
 
 auto log_storage::append(term_number entry_term, const value& command) -> log_index {
-  auto at = last() + 1;
-  disk_.put(entry_key(at), serialize_entry(entry_term, command));
-  push(entry_term, encode_cbor(command));
-  record_configuration(at, command);
-  return at;
+  auto index = last() + 1;
+  disk_.put(entry_key(index), serialize_entry(entry_term, command));
+  push_entry(entry_term, encode_cbor(command));
+  record_membership(index, command);
+  return index;
 }
 
 auto log_storage::truncate_from(log_index from) -> void {
   while (last() >= from) {
     disk_.erase(entry_key(last()));
-    configurations_.erase(last());
+    memberships_.erase(last());
     entries_.pop_back();
   }
   durable_index = std::min(durable_index, last());
@@ -147,55 +149,56 @@
 auto log_storage::snapshot_due(log_index applied) const -> bool {
   if (applied <= snapshot_index_)
     return false;
-  auto behind = bytes_between(snapshot_index_, applied);
-  return behind >= std::max(compaction_threshold_bytes, snapshot_bytes_) ||
+  auto applied_bytes = bytes_between(snapshot_index_, applied);
+  return applied_bytes >= std::max(compaction_threshold_bytes, snapshot_bytes_) ||
          applied - snapshot_index_ >= limits_.compaction_threshold_entries;
 }
 
-// From the last to the first: what a loss of power leaves has no hole.
-auto log_storage::erase_on_disk(log_index from, log_index upto) -> void {
-  for (auto at = upto; at >= from; --at)
-    disk_.erase(entry_key(at));
+// Erases from the last entry to the first, so that a power failure leaves no gap in the stored entries.
+auto log_storage::erase_on_disk(log_index from, log_index through) -> void {
+  for (auto index = through; index >= from; --index)
+    disk_.erase(entry_key(index));
 }
 
-// The snapshot is written before the entries that it replaces are erased. In memory entries go one by one from the
-// front, until what is left is within the bounds.
+// The snapshot is written before the entries that it covers are erased. In memory, entries are removed one by one from
+// the front until the limits hold.
 auto log_storage::compact(const snapshot& image, log_index needed) -> void {
   auto bytes = serialize_snapshot(image);
   snapshot_bytes_ = bytes.size();
   disk_.put(snapshot_key, std::move(bytes));
   erase_on_disk(snapshot_index_ + 1, image.index);
   snapshot_index_ = image.index;
-  auto keep = [&] {
+  auto may_keep_first_entry = [&] {
     auto covered_bytes = bytes_between(base_index_, snapshot_index_);
     if (covered_bytes > max_retained_bytes)
       return false;
     return base_index_ >= needed ||
            (covered_bytes <= max_tail_bytes && snapshot_index_ - base_index_ <= limits_.max_tail_entries);
   };
-  while (base_index_ < snapshot_index_ && !keep())
+  while (base_index_ < snapshot_index_ && !may_keep_first_entry())
     drop_front(base_index_ + 1);
 }
 
-auto log_storage::drop_front(log_index upto) -> void {
-  while (base_index_ < upto) {
+auto log_storage::drop_front(log_index through) -> void {
+  while (base_index_ < through) {
     base_term_ = entries_.front().term;
     base_bytes_ = entries_.front().total_bytes;
     entries_.pop_front();
     ++base_index_;
   }
-  // The newest voters at or before the base stay.
-  auto after = configurations_.upper_bound(base_index_);
-  configurations_.erase(configurations_.begin(), std::prev(after));
+  // Keep the newest membership at or before base_index_: it is in effect there.
+  auto next = memberships_.upper_bound(base_index_);
+  memberships_.erase(memberships_.begin(), std::prev(next));
 }
 
-// Entries behind the snapshot stay if they are of its history (Raft, figure 13, rule 6): the leader may already count
-// on them. Otherwise all that is here goes.
+// If the log has an entry with the index and term of the snapshot's last entry, the entries after the snapshot stay
+// (Raft, figure 13, rule 6), because the leader may already count on this replica's acknowledgement of them. Otherwise
+// the whole log is discarded.
 auto log_storage::install(const snapshot& image, std::string bytes) -> void {
-  auto follows = term_at(image.index) == image.term;
+  auto has_last_entry = term_at(image.index) == image.term;
   snapshot_bytes_ = bytes.size();
   disk_.put(snapshot_key, std::move(bytes));
-  if (follows) {
+  if (has_last_entry) {
     erase_on_disk(snapshot_index_ + 1, image.index);
     drop_front(image.index);
   } else {
@@ -204,7 +207,7 @@
     base_bytes_ = 0;
     base_index_ = image.index;
     base_term_ = image.term;
-    configurations_ = {{base_index_, {image.members, image.log_id}}};
+    memberships_ = {{base_index_, {image.members, image.log_id}}};
     durable_index = base_index_;
   }
   durable_index = std::max(durable_index, image.index);
@@ -214,10 +217,10 @@
 }
 
 auto log_storage::bootstrap(std::vector<voter> voters) -> void {
-  auto first = snapshot{0, 0, {std::move(voters), {}}, {}, nullptr};
-  configurations_ = {{0, {first.members, {}}}};
+  auto initial = snapshot{0, 0, {std::move(voters), {}}, {}, nullptr};
+  memberships_ = {{0, {initial.members, {}}}};
   initialized = true;
-  disk_.put(snapshot_key, serialize_snapshot(first));
+  disk_.put(snapshot_key, serialize_snapshot(initial));
   save_metadata();
 }
 
--- a/src/raft/log_storage.hpp
+++ b/src/raft/log_storage.hpp
@@ -1,8 +1,9 @@
-// The durable part of the replicated log: entries, term and vote, and the snapshot that precedes them (design 4.1).
-// Entries are in memory once, packed; of those that the snapshot on disk covers a bounded tail is kept for followers.
+// The durable state of the replicated log: term, vote, entries, and the snapshot that precedes the entries (design
+// 4.1). Entries are also held in memory, encoded as CBOR. A bounded number of entries that the snapshot on disk already
+// covers stays in memory, so that slow followers do not need a snapshot.
 //
-// Writes become durable in their order, and only sync() waits for them: whoever acts on what is durable (a vote, an
-// acknowledgement, the commit index) calls sync() first.
+// Writes become durable in the order in which they are made. Only sync() waits for them, so a caller must call sync()
+// before it grants a vote, acknowledges entries or advances the commit index.
 #pragma once
 #include <deque>
 #include <functional>
@@ -15,35 +16,38 @@
 
 namespace reachridge {
 
-// Bounds, in bytes unless said otherwise.
-constexpr auto compaction_threshold_bytes = std::size_t{2}
-                                            << 20;         // entries behind the snapshot before the next one is taken
-constexpr auto max_tail_bytes = std::size_t{1} << 20;      // covered entries kept in memory for followers
-constexpr auto max_retained_bytes = std::size_t{8} << 20;  // kept for a follower that is being brought up, at most
+// Size of the applied entries after the last snapshot at which the next snapshot is taken. If the last snapshot is
+// larger than this, its size takes the place of this limit.
+constexpr auto compaction_threshold_bytes = std::size_t{2} << 20;
+// Limits for the entries that the snapshot covers and that stay in memory: in general, and while a follower that is
+// catching up still needs them.
+constexpr auto max_tail_bytes = std::size_t{1} << 20;
+constexpr auto max_retained_bytes = std::size_t{8} << 20;
 
-// Bounds by number, and of what is sent at once. Tests set small ones, so that snapshots are taken and sent often.
+// Limits in numbers of entries, and sizes of requests. Tests set small values so that snapshots are taken and sent
+// often.
 struct log_limits {
-  std::int64_t compaction_threshold_entries = 1024;  // behind the snapshot before the next one is taken
-  std::int64_t max_tail_entries = 512;               // covered ones kept in memory for followers
-  std::size_t initial_window_bytes = 64 << 10;  // bytes sent to a follower at once, before its link's speed is known
-  std::size_t min_window_bytes = 8 << 10;       // and on the slowest link
+  std::int64_t compaction_threshold_entries = 1024;  // applied entries after the last snapshot that trigger the next
+  std::int64_t max_tail_entries = 512;               // entries covered by the snapshot that stay in memory
+  std::size_t initial_window_bytes = 64 << 10;       // follower_progress::window before the link's speed is known
+  std::size_t min_window_bytes = 8 << 10;            // lower limit of follower_progress::window, on slow links
 };
 
-// The log of one replica on its disk. Owned by `consensus`, its only caller; one thread.
+// The log of one replica on its disk. `consensus` owns this object and is its only caller. Not thread-safe.
 class log_storage {
  public:
   struct entry {
     term_number term;
-    std::string command;          // as CBOR
-    std::size_t total_bytes = 0;  // of all commands up to this one
+    std::string command;          // encoded as CBOR
+    std::size_t total_bytes = 0;  // size of all commands up to and including this one
   };
 
   explicit log_storage(store& disk, log_limits limits = {}) : disk_(disk), limits_(limits) {}
 
-  // Reads the disk. Gives the snapshot on it, if any; a blank disk gets `fresh_id` as its identifier. Throws
-  // `errc::damaged` where a record or an entry is missing, `decode_error` where one is altered.
+  // Reads the log from the disk and returns the snapshot, if there is one. A blank disk gets `fresh_id` as its
+  // identifier. Throws `errc::damaged` if a record or an entry is missing, and `decode_error` if one is corrupt.
   auto load(std::uint64_t fresh_id) -> std::optional<snapshot>;
-  // Writes the metadata below; durable after the next sync().
+  // Writes `disk_id`, `term`, `voted_for` and `founded`. They are durable after the next sync().
   auto save_metadata() -> void;
   [[nodiscard]] auto sync() -> task<void> {
     return disk_.sync();
@@ -52,78 +56,95 @@
     return disk_.failed();
   }
 
-  // Entries `first() + 1` to `last()` are in memory.
+  // The index before the first entry in memory. Entries `first() + 1` to `last()` are in memory.
   [[nodiscard]] auto first() const -> log_index {
     return base_index_;
   }
   [[nodiscard]] auto last() const -> log_index {
     return base_index_ + static_cast<std::int64_t>(entries_.size());
   }
+  // The last entry that the snapshot on disk covers.
   [[nodiscard]] auto snapshot_index() const -> log_index {
     return snapshot_index_;
   }
-  [[nodiscard]] auto term_at(log_index at) const -> term_number;  // or unknown_term
-  [[nodiscard]] auto entry_at(log_index at) const -> const entry&;
+  // The term of the entry, also for the index `first()`. Returns `unknown_term` for an index before `first()` or after
+  // `last()`.
+  [[nodiscard]] auto term_at(log_index index) const -> term_number;
+  // Only for entries in memory; throws std::out_of_range otherwise.
+  [[nodiscard]] auto entry_at(log_index index) const -> const entry&;
+  // Size of the commands in memory.
   [[nodiscard]] auto bytes() const -> std::size_t {
     return bytes_between(base_index_, last());
   }
-  // Gives the index of the new entry.
+  // Appends an entry and returns its index. The entry is durable after the next sync().
   auto append(term_number entry_term, const value& command) -> log_index;
-  // Removes the entry at `from` and all after it.
+  // Removes the entry at `from` and all entries after it.
   auto truncate_from(log_index from) -> void;
 
-  // The newest voters in the log, committed or not, and the index of their entry. A replica uses them from the moment
-  // that entry is in its log (Raft, section 6).
+  // The newest membership in the log, committed or not, and the index of its entry. A replica uses a membership as soon
+  // as the entry is in its log (Raft, section 6).
   [[nodiscard]] auto members() const -> const membership& {
-    return configurations_.rbegin()->second.members;
+    return memberships_.rbegin()->second.members;
   }
   [[nodiscard]] auto members_index() const -> log_index {
-    return configurations_.rbegin()->first;
+    return memberships_.rbegin()->first;
   }
-  [[nodiscard]] auto members_at(log_index at) const -> const membership&;
+  // The membership in effect after the entry at `index`. Returns the oldest known membership for an older index.
+  [[nodiscard]] auto members_at(log_index index) const -> const membership&;
+  // The identifier of this log; empty until the log has one.
   [[nodiscard]] auto log_id() const -> const std::string& {
-    return configurations_.rbegin()->second.log_id;
+    return memberships_.rbegin()->second.log_id;
   }
 
-  // Enough has been applied since the last snapshot that another should be taken.
+  // Whether the entries applied since the last snapshot reach a compaction threshold. `applied` is the last applied
+  // entry.
   [[nodiscard]] auto snapshot_due(log_index applied) const -> bool;
-  // `image` replaces the entries up to it on disk; in memory those after `needed` stay while the bounds allow.
+  // Writes the replica's own snapshot and erases the entries that it covers from the disk. In memory, covered entries
+  // after `needed`, which followers still need, stay while the covered entries fit into max_retained_bytes. The others
+  // stay while the covered entries fit into max_tail_bytes and max_tail_entries.
   auto compact(const snapshot& image, log_index needed) -> void;
-  // `image`, sealed as `bytes`, replaces what is here, but for entries that follow it in the same history.
+  // Replaces the log by a snapshot from the leader; `bytes` is its serialized form. Entries after the snapshot stay if
+  // the log has the snapshot's last entry.
   auto install(const snapshot& image, std::string bytes) -> void;
-  // Begins a log of these voters on a blank disk.
+  // Starts a new log with these voters on a blank disk.
   auto bootstrap(std::vector<voter> voters) -> void;
 
-  // Kept on disk by save_metadata(); see log_metadata.
+  // Persistent state; save_metadata() writes these four members. See log_metadata.
   disk_identifier disk_id;
   term_number term;
   std::string voted_for;
   bool initialized = false;
-  // Entries up to here are known to be synced. It is not kept: what is read from the disk was synced.
+  // Entries up to this index are known to be durable. The index is not stored, because all entries that load() reads
+  // are durable.
   log_index durable_index;
 
  private:
-  struct configuration {
+  // The state that the membership commands up to an entry have set.
+  struct membership_record {
     membership members;
     std::string log_id;
   };
   auto load_snapshot() -> std::optional<snapshot>;
   auto load_entries() -> void;
-  auto push(term_number entry_term, std::string command) -> void;
-  [[nodiscard]] auto bytes_between(log_index from, log_index upto) const -> std::size_t;
-  auto record_configuration(log_index at, const value& command) -> void;
-  auto drop_front(log_index upto) -> void;
-  auto erase_on_disk(log_index from, log_index upto) -> void;
+  auto push_entry(term_number entry_term, std::string command) -> void;
+  // Size of the commands after `from`, up to and including `through`. Entries that are not in memory count as 0.
+  [[nodiscard]] auto bytes_between(log_index from, log_index through) const -> std::size_t;
+  auto record_membership(log_index index, const value& command) -> void;
+  // Removes the entries up to and including `through` from memory.
+  auto drop_front(log_index through) -> void;
+  // Erases the entries from `from` up to and including `through` from the disk.
+  auto erase_on_disk(log_index from, log_index through) -> void;
 
   store& disk_;
   log_limits limits_;
-  log_index base_index_;  // the entry before the first in memory
-  term_number base_term_;
-  log_index snapshot_index_;  // the snapshot on disk is of this index
-  std::deque<entry> entries_;
-  std::size_t base_bytes_ = 0;  // of all commands up to the base
-  std::size_t snapshot_bytes_ = 0;
-  std::map<log_index, configuration> configurations_ = {{0, {}}};  // the first one at or before the base
+  log_index base_index_;            // index before the first entry in memory
+  term_number base_term_;           // term of the entry at base_index_
+  log_index snapshot_index_;        // last entry that the snapshot on disk covers
+  std::deque<entry> entries_;       // entries in memory, without gaps, from base_index_ + 1
+  std::size_t base_bytes_ = 0;      // size of all commands up to and including base_index_
+  std::size_t snapshot_bytes_ = 0;  // size of the serialized snapshot on disk
+  // By the index of the membership entry. The first element is at or before base_index_.
+  std::map<log_index, membership_record> memberships_ = {{0, {}}};
 };
 
 }  // namespace reachridge
