--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -1,3 +1,4 @@
+// Requests of the gateway and the state that the agent reports for it; see agent.hpp.
 #include "agent/agent.hpp"
 
 #include "cluster/control_operation.hpp"
@@ -26,9 +27,10 @@
   return settings_.lease_duration + settings_.heartbeat_interval;
 }
 
-// What the gateway serves is reported, not what the agent holds. While the gateway is silent the old version stays, and
-// so a newer one is not in force everywhere. A gateway silent for longer than any lease that it was given serves
-// nothing.
+// The agent reports the version that the gateway serves, not the version that the agent holds. While the gateway is
+// silent the reported version does not change, so a newer version does not count as in force everywhere. A gateway that
+// has been silent for longer than any lease that it was granted serves nothing; then the agent's own version is
+// reported.
 auto agent::reported_version() -> configuration_version {
   const auto silent = host_.now() - gateway_seen_at_ > gateway_lease_limit();
   if (silent)
@@ -70,7 +72,7 @@
   session.self.http_address = request.node.http_address;
   session.self.address = request.node.address;
   gateway_version_ = request.served_version;
-  // The agent holds for the gateway what the gateway needs.
+  // The agent must hold the nodes of all zones if the gateway asks for them.
   if (requests_all_zones(request.held_versions))
     session.view.filter.all_zones = true;
 }
@@ -79,12 +81,12 @@
   const auto has_changes = [&] {
     return !session.view.changes_since(request.held_versions).empty();
   };
-  const auto could_lease = can_grant_lease();
-  auto found = has_changes();
-  // A first lease is passed on at once.
-  while (!found && host_.now() < deadline && (could_lease || !can_grant_lease())) {
+  const auto could_grant_lease = can_grant_lease();
+  auto changes_found = has_changes();
+  // If the agent has just obtained its first lease, answer at once so that the gateway gets a lease as well.
+  while (!changes_found && host_.now() < deadline && (could_grant_lease || !can_grant_lease())) {
     const auto woken = co_await session.changed.wait(host_, deadline);
-    found = has_changes();
+    changes_found = has_changes();
     if (!woken)
       break;
   }
@@ -96,7 +98,7 @@
           .partitions_version = session.view.partitions_version};
 }
 
-// The gateway serves nothing from now on, until it asks again; the agent's own session goes on.
+// Treats the gateway as not serving until its next heartbeat. The agent's own session continues.
 auto agent::on_leave() -> void {
   gateway_seen_at_ = host_.now() - gateway_lease_limit() - 1;
   session.self.ready = false;
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -1,3 +1,4 @@
+// Entry point of the agent process; see agent.hpp.
 #include "runtime/daemon.hpp"
 
 #include "agent/agent.hpp"
