--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -5,5 +5,5 @@
 
 auto main(int argc, const char** argv) -> int {
   return reachridge::run_daemon<reachridge::agent>(reachridge::command_line(
-      argc, argv, "the agent beside a forager", reachridge::required_settings{true, false, true, false, false}));
+      argc, argv, "the agent beside a gateway", reachridge::required_settings{true, false, true, false, false}));
 }
--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -30,12 +30,12 @@
  public:
   message_reader(const value& message, const char* message_name) : message_(message), message_name_(message_name) {
     if (!message_.is_object())
-      reject("message", "is no map");
+      reject("message", "is not a map");
   }
   [[nodiscard]] auto number(const char* key, std::int64_t min_value, std::int64_t max_value) const -> std::int64_t {
     const auto& field = get_value(message_, key);
     if (!field.is_int64())
-      reject(key, "is no number");
+      reject(key, "is not an integer");
     return check_range(key, field.get_int64(), min_value, max_value);
   }
   // Returns `fallback` if the field is missing.
@@ -52,7 +52,7 @@
   [[nodiscard]] auto string(const char* key) const -> std::string {
     const auto& field = get_value(message_, key);
     if (!field.is_string())
-      reject(key, "is no string");
+      reject(key, "is not a string");
     return std::string(field.get_string());
   }
   [[nodiscard]] auto string_or_empty(const char* key) const -> std::string {
@@ -70,13 +70,13 @@
     if (field.is_null())
       return false;
     if (!field.is_bool())
-      reject(key, "is neither true nor false");
+      reject(key, "is not a boolean");
     return field.get_bool();
   }
   [[nodiscard]] auto list(const char* key) const -> const array& {
     const auto& field = get_value(message_, key);
     if (!field.is_array())
-      reject(key, "is no list");
+      reject(key, "is not a list");
     return field.get_array();
   }
   [[noreturn]] auto reject(const char* key, const char* reason) const -> void {
@@ -102,10 +102,10 @@
     auto voter_reader = message_reader(element, "voter");
     voters.push_back({voter_reader.non_empty_string("addr"), voter_reader.non_empty_string("id")});
     if (!addresses.insert(voters.back().address).second)
-      reader.reject(key, "names an address twice");
+      reader.reject(key, "has a duplicate address");
   }
   if (voters.empty())
-    reader.reject(key, "names nobody");
+    reader.reject(key, "is empty");
   return voters;
 }
 
@@ -131,13 +131,13 @@
 // Decodes one entry of an append request. The term of an entry is neither lower than the term of the entry before it
 // nor higher than the leader's term.
 auto decode_entry(const value& message, term_number previous_term, term_number leader_term) -> entry_message {
-  auto reader = message_reader(message, "append_entries' entry");
+  auto reader = message_reader(message, "append_entries entry");
   auto term = reader.term("t");
   if (term < previous_term || term > leader_term)
     reader.reject("t", "is out of range");
   const auto& command = get_value(message, "d");
   if (!command.is_object())
-    reader.reject("d", "is no command");
+    reader.reject("d", "is not a command");
   decode_membership_command(command);  // rejects malformed voters before the entry is appended to the log
   return {term, command};
 }
@@ -205,7 +205,7 @@
   auto request = vote_request{reader.non_empty_string("from"), reader.term(),      reader.index("last"),
                               reader.term("last_term"),        reader.flag("dry"), reader.flag("go")};
   if (request.last_term > request.term)
-    reader.reject("last_term", "is above the term");
+    reader.reject("last_term", "is greater than term");
   return request;
 }
 
@@ -214,7 +214,7 @@
 }
 
 auto decode_vote_reply(const value& message) -> vote_reply {
-  auto reader = message_reader(message, "request_vote's answer");
+  auto reader = message_reader(message, "request_vote reply");
   return {reader.term(), reader.flag("ok"), reader.string("id")};
 }
 
@@ -259,7 +259,7 @@
 }
 
 auto decode_append_reply(const value& message) -> append_reply {
-  auto reader = message_reader(message, "append_entries' answer");
+  auto reader = message_reader(message, "append_entries reply");
   auto reply = append_reply{reader.term(), reader.flag("ok"), reader.string("id"), 0, 0};
   if (reply.success)
     reply.match_index = reader.index("match");
@@ -295,7 +295,7 @@
   chunk.data = reader.non_empty_string("data");
   auto length = static_cast<std::int64_t>(chunk.data.size());
   if (length > max_chunk_bytes || chunk.offset + length > chunk.size)
-    reader.reject("data", "is too long");
+    reader.reject("data", "exceeds the chunk limit or the snapshot size");
   return chunk;
 }
 
@@ -308,7 +308,7 @@
 }
 
 auto decode_snapshot_reply(const value& message) -> snapshot_reply {
-  auto reader = message_reader(message, "install_snapshot's answer");
+  auto reader = message_reader(message, "install_snapshot reply");
   return {reader.term(), reader.flag("ok"), reader.string("id"), reader.number("next", 0, max_snapshot_bytes),
           reader.flag("installed")};
 }
@@ -345,7 +345,7 @@
 }
 
 auto decode_describe_reply(const value& message) -> describe_reply {
-  auto reader = message_reader(message, "describe's answer");
+  auto reader = message_reader(message, "describe reply");
   return {reader.non_empty_string("id"), reader.flag("founded"), reader.flag("empty"), reader.string_or_empty("lead"),
           reader.flag("mate")};
 }
@@ -397,7 +397,7 @@
 auto deserialize_metadata(std::string_view bytes) -> log_metadata {
   auto content = decode_with_checksum(bytes);
   if (get_int(content, "format") != metadata_format)
-    throw request_error(errc::damaged, "the ledger's format is not 1");
+    throw request_error(errc::damaged, "the replicated log's metadata format is not 1");
   return {get_string(content, "id"), get_int(content, "term"), get_string(content, "voted"),
           get_bool(content, "founded")};
 }
@@ -423,7 +423,7 @@
   auto reader = message_reader(content, "snapshot");
   auto members = decode_membership(content);
   if (!members)
-    reader.reject("panel", "is lacking");
+    reader.reject("panel", "is missing");
   return {reader.index("idx"), reader.term(), *members, reader.string_or_empty("realm"), get_value(content, "state")};
 }
 
--- a/src/raft/log_storage.cpp
+++ b/src/raft/log_storage.cpp
@@ -38,7 +38,7 @@
       has_other_records = true;
     });
     if (has_other_records)
-      throw request_error(errc::damaged, "the ledger's folder lacks its first record");
+      throw request_error(errc::damaged, "the replicated log's metadata record is missing");
     disk_id = hexadecimal(fresh_id);
     save_metadata();
     return {};
@@ -73,7 +73,7 @@
     if (index <= base_index_)
       return stale.push_back(key);
     if (index != last() + 1)
-      throw request_error(errc::damaged, "the ledger lacks entry " + to_string(last() + 1));
+      throw request_error(errc::damaged, "the replicated log on disk lacks entry " + to_string(last() + 1));
     auto entry = deserialize_entry(bytes);
     push_entry(entry.term, encode_cbor(entry.command));
     record_membership(index, entry.command);
