--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -104,8 +104,8 @@
   session.self.ready = false;
 }
 
-auto agent::leave(monotonic_time limit) -> task<void> {
-  co_await session.leave(limit);
+auto agent::leave(monotonic_time deadline) -> task<void> {
+  co_await session.leave(deadline);
 }
 
 auto agent::status() const -> value {
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -14,8 +14,8 @@
   agent(host& host, const settings& settings);
   control_session session;                     // the agent's session with a control node
   [[nodiscard]] auto status() const -> value;  // for the status page and the `status` request
-  // Ends the agent's session with the control node, before the process stops.
-  auto leave(monotonic_time limit) -> task<void>;
+  // Ends the agent's session with the control node before the process stops, at the latest at `deadline`.
+  auto leave(monotonic_time deadline) -> task<void>;
   // Applies changed settings. The open session keeps its own copy.
   auto reload(const settings& settings) -> void {
     settings_ = settings;
--- a/src/raft/codec_test.cpp
+++ b/src/raft/codec_test.cpp
@@ -1,3 +1,4 @@
+// Encoding, validation and rejection of messages, commands and snapshots, and majorities of a membership.
 #include "raft/codec.hpp"
 
 #include "runtime/request_error.hpp"
--- a/src/raft/log_storage.hpp
+++ b/src/raft/log_storage.hpp
@@ -47,7 +47,7 @@
   // Reads the log from the disk and returns the snapshot, if there is one. A blank disk gets `fresh_id` as its
   // identifier. Throws `errc::damaged` if a record or an entry is missing, and `decode_error` if one is corrupt.
   auto load(std::uint64_t fresh_id) -> std::optional<snapshot>;
-  // Writes `disk_id`, `term`, `voted_for` and `founded`. They are durable after the next sync().
+  // Writes `disk_id`, `term`, `voted_for` and `initialized`. They are durable after the next sync().
   auto save_metadata() -> void;
   [[nodiscard]] auto sync() -> task<void> {
     return disk_.sync();
