--- a/src/storage/partition_log.cpp
+++ b/src/storage/partition_log.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr auto snapshot_format = 1;
-// So many entries stay in memory after a snapshot; twice as many make the next one due.
-constexpr auto max_entries_kept = std::size_t{1024};
+// The number of entries that stay in memory after a snapshot. The next snapshot is due at twice this number.
+constexpr auto entries_kept_in_memory = std::size_t{1024};
 
 }  // namespace
 
@@ -61,13 +61,13 @@
   disk_.scan(entry_key_prefix(), [&](const std::string& key, const std::string& record) {
     auto index = static_cast<entry_index>(std::stoull(key.substr(key.rfind('/') + 1), nullptr, 16));
     if (index <= base_index_)
-      return;  // the snapshot holds it; a crash came before it was erased
+      return;  // the snapshot contains this entry: a crash prevented its erasure
     if (index != ++expected)
       throw decode_error("entry " + std::to_string(expected) + " is missing");
     auto stored = decode_replicated_entry(decode_with_checksum(record));
     entries_.push_back({stored.epoch, stored.go_live_point, std::move(stored.payload), now});
   });
-  synced_index_ = disk_.all_durable() ? last_index() : 0;  // what was only queued counts after its sync
+  synced_index_ = disk_.all_durable() ? last_index() : 0;  // entries that are only queued count after the next sync
 }
 
 auto partition_log::epoch_at(entry_index index) const -> partition_epoch {
@@ -89,13 +89,13 @@
   return index;
 }
 
-auto partition_log::append(entry appended) -> entry_index {
+auto partition_log::append(entry new_entry) -> entry_index {
   auto index = last_index() + 1;
-  auto stored = replicated_entry{appended.epoch, appended.go_live_point, appended.payload};
+  auto stored = replicated_entry{new_entry.epoch, new_entry.go_live_point, new_entry.payload};
   disk_.put(entry_key(index), encode_with_checksum(encode(stored)));
-  if (!is_clock_advance(appended.payload))
+  if (!is_clock_advance(new_entry.payload))
     sync_is_urgent_ = true;
-  entries_.push_back(std::move(appended));
+  entries_.push_back(std::move(new_entry));
   return index;
 }
 
@@ -108,18 +108,19 @@
 }
 
 auto partition_log::snapshot_is_due() const -> bool {
-  return entries_.size() >= max_entries_kept * 2;
+  return entries_.size() >= entries_kept_in_memory * 2;
 }
 
 auto partition_log::store_snapshot(entry_index applied_index, value state) -> void {
   auto snapshot =
       partition_snapshot{.index = applied_index, .epoch = epoch_at(applied_index), .state = std::move(state)};
   disk_.put(snapshot_key(), encode_with_checksum(encode(snapshot)));
-  // After the snapshot, in the order of the disk: a crash between leaves entries that load_entries passes over.
+  // The disk performs these erasures after the snapshot's write. If a crash prevents them, load_entries skips the
+  // entries.
   for (auto i = trimmed_index_ + 1; i <= applied_index; ++i)
     disk_.erase(entry_key(i));
   trimmed_index_ = applied_index;
-  while (entries_.size() > max_entries_kept && base_index_ < applied_index) {
+  while (entries_.size() > entries_kept_in_memory && base_index_ < applied_index) {
     base_epoch_ = entries_.front().epoch;
     entries_.pop_front();
     ++base_index_;
@@ -133,7 +134,7 @@
       keys.push_back(key);
     });
   } catch (const decode_error&) {
-    // A damaged record ends the scan; what it did not reach is erased by index below.
+    // A damaged record ends the scan. The loop below erases the entries that the scan did not reach by index.
   }
   for (const auto& key : keys)
     disk_.erase(key);
@@ -155,11 +156,11 @@
   return {.index = last_index(), .epoch = epoch_at(last_index()), .wipe_count = wipe_count_};
 }
 
-auto partition_log::finish_sync(const sync_point& begun) -> void {
-  auto still_there =
-      begun.wipe_count == wipe_count_ && begun.index <= last_index() && epoch_at(begun.index) == begun.epoch;
-  if (still_there)
-    mark_synced(begun.index);
+auto partition_log::finish_sync(const sync_point& sync_start) -> void {
+  auto is_unchanged = sync_start.wipe_count == wipe_count_ && sync_start.index <= last_index() &&
+                      epoch_at(sync_start.index) == sync_start.epoch;
+  if (is_unchanged)
+    mark_synced(sync_start.index);
 }
 
 auto partition_log::mark_synced(entry_index index) -> void {
--- a/src/storage/partition_log_test.cpp
+++ b/src/storage/partition_log_test.cpp
@@ -2,13 +2,13 @@
 
 #include "simulator/fleet.hpp"
 
-// After all others: it redefines new.
+// Must be the last include because it redefines new.
 #include <CppUTest/TestHarness.h>
 
 namespace {
 using namespace reachridge;
 
-// A storage node's disk. The log itself waits for nothing, so no time has to pass.
+// A simulated storage node with a disk. The log never waits, so the tests do not advance the clock.
 struct disk_fixture {
   simulated_network network{1};
   sim_host host{network, network.machine_at("one", "z1"), true, 1};
@@ -18,7 +18,7 @@
   }
 };
 
-auto entry_of(partition_epoch epoch, bool go_live_point) -> partition_log::entry {
+auto clock_entry(partition_epoch epoch, bool go_live_point) -> partition_log::entry {
   return {epoch, go_live_point, object{{"k", "c"}, {"d", 1}}, 0};
 }
 
@@ -29,11 +29,11 @@
 
 TEST_GROUP(partition_log){};
 
-TEST(partition_log, what_was_appended_is_there_after_a_reload) {
+TEST(partition_log, reload_restores_appended_entries) {
   auto fixture = disk_fixture();
   auto log = partition_log(fixture.disk(), "p/0");
-  LONGS_EQUAL(1, log.append(entry_of(1, true)));
-  LONGS_EQUAL(2, log.append(entry_of(2, true)));
+  LONGS_EQUAL(1, log.append(clock_entry(1, true)));
+  LONGS_EQUAL(2, log.append(clock_entry(2, true)));
 
   auto reloaded = partition_log(fixture.disk(), "p/0");
   CHECK_FALSE(reloaded.load_snapshot().has_value());
@@ -42,27 +42,27 @@
   LONGS_EQUAL(1, reloaded.epoch_at(1));
   LONGS_EQUAL(2, reloaded.epoch_at(2));
   LONGS_EQUAL(-1, reloaded.epoch_at(3));
-  // Only queued on the disk so far: it counts after the next sync.
+  // The entries are only queued on the disk. They count as synced after the next sync.
   LONGS_EQUAL(0, reloaded.synced_index());
 }
 
-TEST(partition_log, a_missing_entry_is_damage) {
+TEST(partition_log, load_rejects_a_missing_entry) {
   auto fixture = disk_fixture();
   auto log = partition_log(fixture.disk(), "p/0");
   for (auto i = 0; i < 3; ++i)
-    log.append(entry_of(1, true));
+    log.append(clock_entry(1, true));
   fixture.disk().erase("C/p/0/e/0000000000000002");
   auto reloaded = partition_log(fixture.disk(), "p/0");
   CHECK_FALSE(reloaded.load_snapshot().has_value());
   CHECK_THROWS(decode_error, reloaded.load_entries(0));
 }
 
-TEST(partition_log, a_wipe_leaves_nothing_and_its_partition_alone) {
+TEST(partition_log, wipe_erases_all_entries_of_its_own_partition_only) {
   auto fixture = disk_fixture();
   auto other = partition_log(fixture.disk(), "p/1");
-  other.append(entry_of(1, true));
+  other.append(clock_entry(1, true));
   auto log = partition_log(fixture.disk(), "p/0");
-  log.append(entry_of(1, true));
+  log.append(clock_entry(1, true));
   log.wipe();
   LONGS_EQUAL(0, log.last_index());
   auto keys = std::vector<std::string>();
@@ -73,12 +73,12 @@
   STRCMP_EQUAL("C/p/1/e/0000000000000001", keys.front().c_str());
 }
 
-TEST(partition_log, an_unfinished_operation_is_cut_off_up_to_the_last_go_live_point) {
+TEST(partition_log, unfinished_operation_is_dropped_up_to_the_last_go_live_point) {
   auto fixture = disk_fixture();
   auto log = partition_log(fixture.disk(), "p/0");
-  log.append(entry_of(1, true));
-  log.append(entry_of(1, false));
-  log.append(entry_of(1, false));
+  log.append(clock_entry(1, true));
+  log.append(clock_entry(1, false));
+  log.append(clock_entry(1, false));
   log.mark_synced(3);
   LONGS_EQUAL(1, log.last_go_live_point(0));
   LONGS_EQUAL(2, log.last_go_live_point(2));
@@ -87,33 +87,33 @@
   LONGS_EQUAL(1, log.synced_index());
 }
 
-TEST(partition_log, a_sync_counts_for_what_was_there_when_it_began) {
+TEST(partition_log, sync_covers_only_entries_appended_before_it_began) {
   auto fixture = disk_fixture();
   auto log = partition_log(fixture.disk(), "p/0");
-  log.append(entry_of(1, true));
-  auto begun = log.begin_sync();
-  log.append(entry_of(1, true));
-  log.finish_sync(begun);
+  log.append(clock_entry(1, true));
+  auto sync_start = log.begin_sync();
+  log.append(clock_entry(1, true));
+  log.finish_sync(sync_start);
   LONGS_EQUAL(1, log.synced_index());
 }
 
-// The entry that has the index of then is another one.
-TEST(partition_log, a_sync_that_began_before_a_wipe_says_nothing) {
+// After the wipe a different entry has the index that the sync covered.
+TEST(partition_log, sync_that_began_before_a_wipe_is_ignored) {
   auto fixture = disk_fixture();
   auto log = partition_log(fixture.disk(), "p/0");
-  log.append(entry_of(1, true));
-  auto begun = log.begin_sync();
+  log.append(clock_entry(1, true));
+  auto sync_start = log.begin_sync();
   log.wipe();
-  log.append(entry_of(1, true));
-  log.finish_sync(begun);
+  log.append(clock_entry(1, true));
+  log.finish_sync(sync_start);
   LONGS_EQUAL(0, log.synced_index());
 }
 
-TEST(partition_log, a_snapshot_replaces_the_entries_on_disk_and_keeps_the_newest_in_memory) {
+TEST(partition_log, snapshot_replaces_entries_on_disk_and_keeps_the_newest_in_memory) {
   auto fixture = disk_fixture();
   auto log = partition_log(fixture.disk(), "p/0");
   while (!log.snapshot_is_due())
-    log.append(entry_of(1, true));
+    log.append(clock_entry(1, true));
   auto last = log.last_index();
   log.store_snapshot(last, object{{"some", "state"}});
   LONGS_EQUAL(last, log.last_index());
@@ -130,10 +130,10 @@
   LONGS_EQUAL(1, reloaded.epoch_at(last));
 }
 
-TEST(partition_log, only_what_is_more_than_the_clock_wants_a_sync_at_once) {
+TEST(partition_log, only_entries_other_than_clock_advances_need_an_immediate_sync) {
   auto fixture = disk_fixture();
   auto log = partition_log(fixture.disk(), "p/0");
-  log.append(entry_of(1, true));
+  log.append(clock_entry(1, true));
   CHECK_FALSE(log.sync_is_urgent());
   log.append(urgent_entry());
   CHECK(log.sync_is_urgent());
