--- a/src/storage/partition.cpp
+++ b/src/storage/partition.cpp
@@ -1,4 +1,4 @@
-// A partition's log and state on its node's disk, and its status (design 6.1, 6.2).
+// Loading, appending and syncing of a partition's log and state, and the partition's status (design 6.1, 6.2).
 #include "storage/partition.hpp"
 
 #include <algorithm>
@@ -7,9 +7,9 @@
 
 namespace reachridge {
 
-partition::partition(partition_context its_context, std::string partition_id)
+partition::partition(partition_context context, std::string partition_id)
     : id(std::move(partition_id)),
-      context_(std::move(its_context)),
+      context_(std::move(context)),
       host_(context_.host),
       disk_(*host_.disk()),
       log_(disk_, id),
@@ -20,21 +20,21 @@
     } catch (const std::exception& e) {
       reachridge::log(log_level::error, context_.settings.name, id + ": task ended: " + e.what());
       dump_log("a task of a partition ended");
-      halt("a task of it ended");
-      damaged_ = true;
+      step_down("a task of it ended");
+      is_damaged_ = true;
     }
   };
   created_at_ = host_.now();
   try {
     load();
   } catch (const std::exception& e) {
-    // Torn or altered bytes are never served: the primary makes this copy anew (design 6.8).
+    // A replica never serves torn or altered records. The primary sends a new copy of the state (design 6.8).
     reachridge::log(log_level::error, context_.settings.name, id + ": own copy is damaged: " + e.what());
     dump_log("a damaged copy of " + id);
     wipe();
-    damaged_ = true;
+    is_damaged_ = true;
   }
-  tasks_.spawn(follow_and_lead());
+  tasks_.spawn(run_role_checks());
   tasks_.spawn(flush_log());
   tasks_.spawn(replay());
 }
@@ -63,49 +63,52 @@
     log_.store_snapshot(applied_index_, state_.take_snapshot());
 }
 
-auto partition::append(partition_log::entry appended) -> entry_index {
-  auto index = log_.append(std::move(appended));
+auto partition::append(partition_log::entry new_entry) -> entry_index {
+  auto index = log_.append(std::move(new_entry));
   unsynced_entries_.wake();
   return index;
 }
 
-// One operation of the primary. Its entries are applied as they are logged; its outputs wait until the last of them
-// is safe (paper 2.2, 2.4), for a backup that goes live keeps the operation as a whole or not at all.
+// Appends and applies the entries of one operation of the primary. The outputs wait until the last entry is durable on
+// all in-sync replicas (paper 2.2, 2.4), because a backup that goes live keeps either the complete operation or nothing
+// of it.
 auto partition::append_operation(std::vector<log_entry> entries) -> void {
   auto outputs = std::vector<output>();
   auto index = entry_index{0};
   for (auto i = std::size_t{0}; i < entries.size(); ++i) {
     auto is_last = i + 1 == entries.size();
     index = append({assignment_.epoch, is_last, encode(entries[i]), host_.now()});
-    auto made = state_.apply(index, entries[i]);
+    auto entry_outputs = state_.apply(index, entries[i]);
     applied_index_ = index;
-    std::move(made.begin(), made.end(), std::back_inserter(outputs));
+    std::move(entry_outputs.begin(), entry_outputs.end(), std::back_inserter(outputs));
   }
-  for (auto& made : outputs)
-    pending_outputs_.push_back({index, std::move(made)});
-  log_grown_.wake();
+  for (auto& operation_output : outputs)
+    pending_outputs_.push_back({index, std::move(operation_output)});
+  replication_wakeup_.wake();
   store_snapshot_if_due();
 }
 
-// Advances the partition's clock by what has passed since the last such entry; empty where that is too little.
+// Returns an entry that advances the partition's clock by the time since the last clock entry. Returns no entry if less
+// than half a heartbeat interval has passed.
 auto partition::clock_entry() -> std::vector<log_entry> {
-  auto ms = (host_.now() - clock_logged_at_) / millisecond;
-  if (ms < context_.settings.heartbeat_interval / millisecond / 2)
+  auto elapsed_ms = (host_.now() - last_clock_entry_at_) / millisecond;
+  if (elapsed_ms < context_.settings.heartbeat_interval / millisecond / 2)
     return {};
-  clock_logged_at_ += ms * millisecond;
-  return {clock_advance{ms}};
+  last_clock_entry_at_ += elapsed_ms * millisecond;
+  return {clock_advance{elapsed_ms}};
 }
 
-// What the newest configuration alters for this partition. Most alter nothing: then nothing is logged.
+// Returns an entry with the settings of the newest configuration, or no value if the configuration changes nothing for
+// this partition. Most configurations change nothing, and no entry is logged for them.
 auto partition::configuration_entry() const -> std::optional<log_entry> {
   const auto& newest = context_.session.view.configuration;
   if (!newest || newest->number <= state_.configuration_version)
     return {};
   auto pool = newest->pools.find(id.substr(0, id.find('/')));
-  auto keep = pool == newest->pools.end() ? state_.retention_ms : pool->second.keep_ms;
-  if (keep == state_.retention_ms && context_.settings.resend_window / millisecond == state_.resend_ms)
+  auto retention_ms = pool == newest->pools.end() ? state_.retention_ms : pool->second.keep_ms;
+  if (retention_ms == state_.retention_ms && context_.settings.resend_window / millisecond == state_.resend_ms)
     return {};
-  return configuration_change{keep, context_.settings.resend_window / millisecond, newest->number};
+  return configuration_change{retention_ms, context_.settings.resend_window / millisecond, newest->number};
 }
 
 auto partition::configuration_number() const -> std::int64_t {
@@ -114,12 +117,13 @@
                                           : state_.configuration_version;
 }
 
-// Syncs the own disk, one sync for all that came since the last, and then lets outputs or an acknowledgement go.
+// Syncs this node's disk. One sync covers all entries appended since the previous sync began. After each sync a primary
+// releases outputs and a backup sends an acknowledgement.
 auto partition::flush_log() -> task<void> {
   while (true) {
     co_await wait_for_unsynced_entries();
     log_.clear_sync_urgency();
-    auto begun = log_.begin_sync();
+    auto sync_start = log_.begin_sync();
     auto fault = std::string();
     try {
       co_await disk_.sync();
@@ -127,18 +131,19 @@
       fault = error.what();
     }
     if (!fault.empty()) {
-      co_await wait_for_disk(fault);
+      co_await wait_for_disk_recovery(fault);
       continue;
     }
-    log_.finish_sync(begun);
+    log_.finish_sync(sync_start);
     if (role_ == replica_role::primary)
-      release();
+      release_outputs();
     else if (role_ == replica_role::backup)
       send_acknowledgement(false);
   }
 }
 
-// Entries that only advance the clock may wait a heartbeat for others.
+// Waits until the log has entries to sync. Entries that only advance the clock wait up to a heartbeat interval for
+// other entries.
 auto partition::wait_for_unsynced_entries() -> task<void> {
   while (log_.synced_index() >= last_index())
     co_await unsynced_entries_.wait(host_);
@@ -147,15 +152,16 @@
     co_await unsynced_entries_.wait(host_, deadline);
 }
 
-// A disk that failed a write ends the role here until it has taken what it owes (design 6.8).
-auto partition::wait_for_disk(const std::string& fault) -> task<void> {
-  auto was_damaged = std::exchange(damaged_, true);
-  halt("disk: " + fault);
+// Steps down after a failed disk write and waits until the disk has completed all queued writes. The replica counts as
+// damaged in the meantime (design 6.8).
+auto partition::wait_for_disk_recovery(const std::string& fault) -> task<void> {
+  auto was_damaged = std::exchange(is_damaged_, true);
+  step_down("disk: " + fault);
   dump_log("the disk of " + context_.settings.name + " fails");
   while (disk_.failed())
     co_await sleep_for(host_, context_.settings.heartbeat_interval);
   if (!was_damaged)
-    damaged_ = false;  // it has taken everything since, in order
+    is_damaged_ = false;  // the disk has completed all queued writes in order
 }
 
 auto partition::status() const -> value {
@@ -179,7 +185,7 @@
                 {"applied", applied_index_},
                 {"solid", log_.synced_index()},
                 {"root", state_.recreated_at},
-                {"broken", damaged_},
+                {"broken", is_damaged_},
                 {"share", admission_.share()},
                 {"slowed", admission_.slowed()},
                 {"stops", admission_.stops()},
--- a/src/storage/partition_backup.cpp
+++ b/src/storage/partition_backup.cpp
@@ -9,15 +9,15 @@
 namespace reachridge {
 namespace {
 
-// Counts a call as running while it is in scope.
-class running_call {
+// Counts a join or copy request as running for the lifetime of the object.
+class running_call_guard {
  public:
-  explicit running_call(int& running) : running_(running) {
+  explicit running_call_guard(int& running) : running_(running) {
     ++running_;
   }
-  running_call(const running_call&) = delete;
-  auto operator=(const running_call&) -> running_call& = delete;
-  ~running_call() {
+  running_call_guard(const running_call_guard&) = delete;
+  auto operator=(const running_call_guard&) -> running_call_guard& = delete;
+  ~running_call_guard() {
     --running_;
   }
 
@@ -25,19 +25,20 @@
   int& running_;
 };
 
-constexpr auto obsolete_after_timeouts = 5;  // a replica that is assigned elsewhere is removed after so many
+// The number of failure timeouts without contact after which a replica of a reassigned partition is obsolete.
+constexpr auto obsolete_after_timeouts = 5;
 
 }  // namespace
 
-auto partition::last_sign_of_primary() const -> monotonic_time {
-  return std::max({last_contact_, created_at_, reconnected_at_});
+auto partition::last_primary_contact() const -> monotonic_time {
+  return std::max({last_contact_, created_at_, became_backup_at_});
 }
 
 auto partition::is_obsolete() const -> bool {
-  auto assigned_elsewhere = assignment_.epoch > 0 && !assignment_.has_member(own_member());
-  auto unused = role_ != replica_role::primary && calls_running_ == 0;
-  return assigned_elsewhere && unused &&
-         host_.now() - last_sign_of_primary() > context_.settings.failure_timeout * obsolete_after_timeouts;
+  auto is_assigned_elsewhere = assignment_.epoch > 0 && !assignment_.has_member(own_member());
+  auto is_unused = role_ != replica_role::primary && running_calls_ == 0;
+  return is_assigned_elsewhere && is_unused &&
+         host_.now() - last_primary_contact() > context_.settings.failure_timeout * obsolete_after_timeouts;
 }
 
 auto partition::follows(const std::string& primary, partition_epoch epoch) const -> bool {
@@ -46,46 +47,47 @@
 
 auto partition::become_backup() -> void {
   role_ = replica_role::backup;
-  reconnected_at_ = last_contact_ = host_.now();
+  became_backup_at_ = last_contact_ = host_.now();
   entries_received_.wake();
 }
 
-// Epochs only rise: who joins at a lower one than is known here has been replaced, and is told by whom.
+// Epochs only increase. A primary that joins with a lower epoch than this replica knows has been replaced; the error
+// contains the current assignment.
 auto partition::on_join(replica_join_request request) -> task<replica_join_reply> {
-  auto running = running_call(calls_running_);
+  auto running = running_call_guard(running_calls_);
   if (request.epoch < assignment_.epoch || request.epoch < followed_.epoch)
     throw request_error(errc::old_epoch, id + " has moved on", execution_outcome::not_executed, -1,
                         assignment_.to_value());
   if (role_ == replica_role::primary) {
     if (request.epoch == assignment_.epoch)
       throw request_error(errc::old_epoch, "two primaries at one epoch", execution_outcome::not_executed);
-    halt("a newer primary joins");
+    step_down("a newer primary joins");
   }
   followed_.member = request.primary;
   followed_.epoch = request.epoch;
-  followed_.answered_join = request.join;
+  followed_.last_answered_join = request.join;
   followed_.process_gone = false;
   last_contact_ = host_.now();
   if (role_ != replica_role::backup)
-    reconnected_at_ = host_.now();
+    became_backup_at_ = host_.now();
   role_ = replica_role::backup;
-  auto begun = log_.begin_sync();
+  auto sync_start = log_.begin_sync();
   co_await disk_.sync();
-  log_.finish_sync(begun);  // what came in meanwhile is not synced yet
+  log_.finish_sync(sync_start);  // entries appended during the sync are not synced yet
   co_return replica_join_reply{.last_index = last_index(),
                                .last_epoch = log_.epoch_at(last_index()),
                                .applied_index = applied_index_,
-                               .damaged = damaged_,
+                               .damaged = is_damaged_,
                                .synced_index = log_.synced_index()};
 }
 
 auto partition::on_state_chunk(state_chunk chunk) -> task<void> {
-  auto running = running_call(calls_running_);
+  auto running = running_call_guard(running_calls_);
   if (!follows(chunk.primary, chunk.epoch))
     throw request_error(errc::old_epoch, "another primary is followed");
-  // One of an earlier join may come late, over a connection that was given up since: it would undo what was
-  // acknowledged.
-  if (chunk.join != followed_.answered_join)
+  // A delayed chunk of an earlier join can arrive on an abandoned connection. Installing its state would undo
+  // acknowledged entries.
+  if (chunk.join != followed_.last_answered_join)
     throw request_error(errc::old_epoch, "another join came after this copy was begun");
   last_contact_ = host_.now();
   if (chunk.part == 0)
@@ -99,8 +101,8 @@
   co_await disk_.sync();
   if (followed_.epoch != epoch || role_ != replica_role::backup)
     throw request_error(errc::old_epoch, "another primary is followed");
-  damaged_ = false;
-  log_.mark_synced(log_.base_index());  // what came in meanwhile waits for its own sync
+  is_damaged_ = false;
+  log_.mark_synced(log_.base_index());  // entries appended during the sync wait for the next sync
 }
 
 auto partition::install_state(const partition_snapshot& snapshot) -> void {
@@ -112,7 +114,8 @@
 
 auto partition::on_append(const connection_ptr& from, append_message message) -> void {
   if (!follows(message.primary, message.epoch)) {
-    // A lower epoch is refused: a primary that was suspended and goes on gets no acknowledgement and sends nothing.
+    // Entries of a lower epoch are rejected. A former primary that resumes after a suspension gets no acknowledgement
+    // and therefore releases no outputs.
     auto rejection =
         replica_acknowledgement{.partition = id, .member = own_member(), .epoch = message.epoch, .rejected = true};
     from->send(encode(rejection));
@@ -122,8 +125,8 @@
   followed_.process_gone = false;
   last_contact_ = host_.now();
   auto previous = message.previous_index;
-  auto same_log = previous <= last_index() && log_.epoch_at(previous) == message.previous_epoch;
-  if (!same_log && previous >= log_.base_index())
+  auto logs_match = previous <= last_index() && log_.epoch_at(previous) == message.previous_epoch;
+  if (!logs_match && previous >= log_.base_index())
     return send_acknowledgement(true);
   if (take_entries(std::move(message)))
     entries_received_.wake();
@@ -131,21 +134,22 @@
     send_acknowledgement(false);
 }
 
-// Appends those of the entries that the log does not have yet; returns whether there were any.
+// Appends the entries that the log does not contain yet. Returns whether any entry was appended.
 auto partition::take_entries(append_message message) -> bool {
   auto index = message.previous_index;
-  auto any_new = false;
+  auto has_new_entries = false;
   for (auto& entry : message.entries) {
     ++index;
     if (index <= last_index())
       continue;
     append({entry.epoch, entry.go_live_point, std::move(entry.payload), host_.now()});
-    any_new = true;
+    has_new_entries = true;
   }
-  return any_new;
+  return has_new_entries;
 }
 
-// A long replay before going live is no silence: else the other backups would claim in turn.
+// The announcement counts as contact with the primary. Without it the other backups would treat a long replay as a
+// failure and claim the partition.
 auto partition::on_replay_announcement(partition_epoch epoch) -> void {
   auto is_newest = epoch >= assignment_.epoch && epoch >= followed_.epoch;
   if (role_ != replica_role::primary && is_newest)
@@ -161,19 +165,20 @@
 }
 
 auto partition::on_primary_process_gone(const std::string& node) -> void {
-  auto lost_connection = role_ == replica_role::backup && !followed_.connection;
+  auto is_disconnected = role_ == replica_role::backup && !followed_.connection;
   auto was_primary = node_of_member(followed_.member) == node && assignment_.primary == followed_.member;
-  if (!lost_connection || !was_primary)
+  if (!is_disconnected || !was_primary)
     return;
   followed_.process_gone = true;
-  check_at_once_ = true;
-  wake_up_.wake();
+  check_immediately_ = true;
+  check_wakeup_.wake();
 }
 
 auto partition::send_acknowledgement(bool rejected) -> void {
   if (!followed_.connection)
     return;
-  // Only what is on this disk counts: the primary lets outputs leave by it (Output Rule, design 6.3).
+  // The acknowledged index covers only entries that are durable on this disk, because the primary releases outputs
+  // based on it (Output Rule, design 6.3).
   followed_.connection->send(encode(replica_acknowledgement{.partition = id,
                                                             .member = own_member(),
                                                             .epoch = followed_.epoch,
@@ -182,7 +187,7 @@
                                                             .applied_index = applied_index_}));
 }
 
-// Applies the log up to its last go-live point, then waits for more (paper 2.4, 3.2).
+// Applies the log up to its last go-live point and then waits for more entries (paper 2.4, 3.2).
 auto partition::replay() -> task<void> {
   while (true) {
     auto end = log_.last_go_live_point(applied_index_);
@@ -197,7 +202,7 @@
   }
 }
 
-// Stops early if this replica becomes primary, or if its log is wiped or replaced.
+// Applies the entries up to `end`. Stops early if this replica becomes the primary or its log is wiped or replaced.
 auto partition::replay_up_to(entry_index end) -> task<void> {
   while (applied_index_ < end && may_replay()) {
     if (context_.settings.replay_delay > 0)
@@ -205,7 +210,7 @@
     if (!may_replay())
       break;
     auto index = applied_index_ + 1;
-    state_.apply(index, decode_log_entry(log_.at(index).payload));  // the outputs are dropped: the primary sends them
+    state_.apply(index, decode_log_entry(log_.at(index).payload));  // drops the outputs: the primary sends them
     applied_index_ = index;
   }
 }
--- a/src/storage/partition_leadership.cpp
+++ b/src/storage/partition_leadership.cpp
@@ -1,4 +1,5 @@
-// Who leads a partition: following the replicated log, claiming, going live, halting (design 6.5).
+// Leadership of a partition: following the assignments of the replicated log, claiming the partition, going live and
+// stepping down (design 6.5).
 #include <algorithm>
 
 #include "runtime/log.hpp"
@@ -8,76 +9,77 @@
 namespace reachridge {
 namespace {
 
-constexpr auto recreated_index_shift = 32;  // a recreated partition counts on from its epoch times 2^32 (design 6.10)
+constexpr auto recreated_index_shift = 32;  // a recreated partition starts at index epoch * 2^32 (design 6.10)
 constexpr auto replay_checks_per_heartbeat = 50;
 
 }  // namespace
 
-// Proposes the successor of the known assignment, by compare-and-set of its epoch. Returns whether the replicated log
-// has committed it, or one that gives the partition to the same primary; otherwise takes the assignment that it holds.
-auto partition::propose(partition_assignment next, std::string why) -> task<bool> {
+// Proposes the next assignment by compare-and-set of the epoch of the known assignment. Returns whether the replicated
+// log has committed the proposal or another assignment with the same primary. If the proposal is rejected, applies the
+// committed assignment.
+auto partition::propose(partition_assignment next, std::string reason) -> task<bool> {
   auto command = next.to_value();
   command.as_object()["k"] = "cell";
   command.as_object()["id"] = id;
   command.as_object()["epoch"] = assignment_.epoch;
-  command.as_object()["why"] = why;
+  command.as_object()["why"] = reason;
   auto reply = co_await context_.session.propose(std::move(command), host_.now() + context_.settings.failure_timeout);
   auto committed = partition_assignment::from_value(get_value(reply, "row"));
   if (get_bool(reply, "ok")) {
-    auto is_own = committed.primary == own_member();
+    auto is_primary_here = committed.primary == own_member();
     if (committed.epoch > assignment_.epoch)
       assignment_ = committed;
-    co_return is_own || committed.primary == next.primary;
+    co_return is_primary_here || committed.primary == next.primary;
   }
-  apply_row(committed);
+  apply_assignment(committed);
   co_return false;
 }
 
-// Who lost a claim halts and takes the role it is given.
-auto partition::apply_row(const partition_assignment& committed) -> void {
+// A primary that a newer assignment replaces steps down. The replica takes the role that the assignment gives it.
+auto partition::apply_assignment(const partition_assignment& committed) -> void {
   if (committed.epoch <= assignment_.epoch)
     return;
-  auto is_own = committed.primary == own_member();
-  // Another backup was faster: it has from now on to make contact.
+  auto is_primary_here = committed.primary == own_member();
+  // Another replica became the primary: its failure timeout starts now.
   if (role_ == replica_role::backup && committed.primary != assignment_.primary)
     last_contact_ = host_.now();
   assignment_ = committed;
   followed_.process_gone = false;
-  if (role_ == replica_role::primary && !is_own)
-    halt("epoch " + std::to_string(committed.epoch) + " is led by " + committed.primary);
-  if (role_ == replica_role::primary && is_own) {
+  if (role_ == replica_role::primary && !is_primary_here)
+    step_down("epoch " + std::to_string(committed.epoch) + " is led by " + committed.primary);
+  if (role_ == replica_role::primary && is_primary_here) {
     log_info("own proposal found committed");
-    wake_up_.wake();
+    check_wakeup_.wake();
     return;
   }
-  if (!is_own && committed.is_in_sync(own_member()) && role_ != replica_role::backup)
+  if (!is_primary_here && committed.is_in_sync(own_member()) && role_ != replica_role::backup)
     become_backup();
-  auto follows_older = role_ == replica_role::backup && followed_.epoch < committed.epoch;
-  if (follows_older && !committed.has_member(own_member()))
+  auto follows_older_epoch = role_ == replica_role::backup && followed_.epoch < committed.epoch;
+  if (follows_older_epoch && !committed.has_member(own_member()))
     role_ = replica_role::idle;
-  wake_up_.wake();
+  check_wakeup_.wake();
 }
 
-// Becomes primary at the epoch that was won. Everything up to the last go-live point has been replayed (paper 2.3).
+// Becomes the primary at the claimed epoch. All entries up to the last go-live point have been replayed (paper 2.3).
 auto partition::go_live() -> void {
-  released_index_ = last_index();  // by whoever led before
+  released_index_ = last_index();  // former primaries may have released outputs up to here
   if (last_index() < assignment_.recreated_epoch << recreated_index_shift)
     recreate();
   log_.drop_unfinished_operation();
   if (applied_index_ < last_index())
     throw std::logic_error(id + " would go live with entries not replayed");
-  reset_leadership();
+  begin_leadership();
   log_info("live at epoch " + std::to_string(assignment_.epoch) + ", entry " + std::to_string(last_index()));
   auto entries = std::vector<log_entry>{go_live_entry{assignment_.epoch, own_member()}};
   if (auto configuration = configuration_entry())
     entries.push_back(*configuration);
   append_operation(std::move(entries));
   for (const auto& backup : assignment_.backups())
-    start_feed(backup);
+    start_replication(backup);
 }
 
-// A partition recreated after all its copies were lost counts on above every position it ever gave out, and knows
-// nothing older (design 6.10).
+// Starts the log of a partition that was recreated after all its replicas were lost. The new log starts above every
+// position that the partition ever assigned, and contains no older data (design 6.10).
 auto partition::recreate() -> void {
   auto first = assignment_.recreated_epoch << recreated_index_shift;
   wipe();
@@ -87,25 +89,25 @@
   log_.mark_synced(first);
 }
 
-auto partition::reset_leadership() -> void {
+auto partition::begin_leadership() -> void {
   ++leadership_number_;
   role_ = replica_role::primary;
   pending_outputs_.clear();
   replicas_.clear();
   join_.required_acks.clear();
   join_.member.clear();
-  join_.excluded.clear();
+  join_.excluded_members.clear();
   subscribers_.clear();
-  handing_over_ = false;
+  is_handing_over_ = false;
   admission_.restart(host_.now());
-  clock_logged_at_ = host_.now();
+  last_clock_entry_at_ = host_.now();
   for (const auto& [subscription, state] : state_.subscriptions)
-    disconnected_[subscription] = host_.now();
+    disconnected_since_[subscription] = host_.now();
 }
 
-// Final answers at once to what waits for an output: it may have happened or not.
-auto partition::reject_waiting(const std::string& why) -> void {
-  auto error = request_error(errc::unclear, why, execution_outcome::unknown,
+// Fails all requests that wait for an output. The outcome of these requests is unknown.
+auto partition::fail_waiting_requests(const std::string& reason) -> void {
+  auto error = request_error(errc::unclear, reason, execution_outcome::unknown,
                              context_.settings.heartbeat_interval * 2 / millisecond);
   for (auto& [publish, waiting] : waiting_publishes_)
     for (auto& reply : waiting)
@@ -120,27 +122,27 @@
   }
 }
 
-// Ends the leadership. No output leaves any more: another primary may have gone live without its entry.
-auto partition::halt(const std::string& why) -> void {
+// Ends the leadership and discards the pending outputs: another primary may have gone live without their entries.
+auto partition::step_down(const std::string& reason) -> void {
   if (role_ != replica_role::primary)
     return;
-  reachridge::log(log_level::warning, context_.settings.name, id + ": halts: " + why);
+  reachridge::log(log_level::warning, context_.settings.name, id + ": halts: " + reason);
   role_ = replica_role::idle;
   ++leadership_number_;
-  reject_waiting("the cell is led elsewhere now");
+  fail_waiting_requests("the cell is led elsewhere now");
   pending_outputs_.clear();
   replicas_.clear();
   join_.required_acks.clear();
-  notify_subscribers_moved();
+  notify_gateways_moved();
   subscribers_.clear();
-  disconnected_.clear();
-  log_grown_.wake();
+  disconnected_since_.clear();
+  replication_wakeup_.wake();
   if (assignment_.primary != own_member() && assignment_.has_member(own_member()))
     become_backup();
 }
 
-// Tells each gateway once that it has to look for the primary.
-auto partition::notify_subscribers_moved() -> void {
+// Notifies each gateway once that it has to look up the new primary.
+auto partition::notify_gateways_moved() -> void {
   auto notified = std::set<connection_ptr>();
   for (const auto& [subscription, subscriber] : subscribers_) {
     auto is_first = notified.insert(subscriber.connection).second;
@@ -149,59 +151,62 @@
   }
 }
 
-// Claims the partition for this node and goes live if the claim is committed. The log decides between claimants: the
-// claim names the epoch it builds on, and only one can be the next.
-auto partition::claim(std::string why) -> task<void> {
+// Claims the partition for this node and goes live if the claim is committed. If several replicas claim concurrently,
+// the replicated log commits only one claim per epoch.
+auto partition::claim(std::string reason) -> task<void> {
   auto next = claimed_assignment();
   auto former_primary = assignment_.primary;
-  log_info("claims epoch " + std::to_string(assignment_.epoch + 1) + ": " + why);
+  log_info("claims epoch " + std::to_string(assignment_.epoch + 1) + ": " + reason);
   try {
-    auto won = co_await propose(next, why);
-    if (won && assignment_.primary == own_member())
-      co_await take_over(former_primary, why);
+    auto is_accepted = co_await propose(next, reason);
+    if (is_accepted && assignment_.primary == own_member())
+      co_await take_over(former_primary, reason);
   } catch (const request_error& error) {
     log_info(std::string("claim waits: ") + error.what());
   }
 }
 
-// Where messages are kept the in-sync set stays: only one that has everything may ever claim. Where none are kept the
-// claimant goes on alone, as in the paper (design 6.9).
+// Returns the assignment that a claim proposes. If the partition retains messages, the in-sync set is unchanged,
+// because only a replica with all released entries may claim. Otherwise the claimant continues alone, as in the paper
+// (design 6.9).
 auto partition::claimed_assignment() const -> partition_assignment {
   auto next = assignment_;
   next.primary = own_member();
-  auto no_backup_answers = assignment_.primary != own_member() || assignment_.in_sync_replicas.size() < 2;
-  if (!keeps_messages() && no_backup_answers)
+  auto continues_alone = assignment_.primary != own_member() || assignment_.in_sync_replicas.size() < 2;
+  if (!keeps_messages() && continues_alone)
     next.in_sync_replicas = {own_member()};
   return next;
 }
 
-// From here on nothing of an older epoch is taken in; what was is replayed in full before this node goes live.
-auto partition::take_over(std::string former_primary, std::string why) -> task<void> {
+// Takes over after a committed claim. The replica rejects entries of lower epochs from now on, and replays all entries
+// that it has before it goes live.
+auto partition::take_over(std::string former_primary, std::string reason) -> task<void> {
   auto claimed = assignment_.epoch;
   followed_.member = own_member();
   followed_.epoch = claimed;
-  auto begun = host_.now();
+  auto started_at = host_.now();
   entries_received_.wake();
   co_await replay_before_go_live(claimed);
   if (role_ == replica_role::primary || assignment_.epoch != claimed)
     co_return;
   go_live();
-  log_info("replayed for " + std::to_string((host_.now() - begun) / millisecond) + " ms before it went live");
-  check_at_once_ = true;  // its new backup is sought at once
+  log_info("replayed for " + std::to_string((host_.now() - started_at) / millisecond) + " ms before it went live");
+  check_immediately_ = true;  // chooses a new backup immediately
   if (former_primary != own_member()) {
-    join_.excluded.insert(former_primary);  // not to be chosen while it is silent
-    // The silence that led to the claim counts against its copy too.
+    join_.excluded_members.insert(former_primary);  // a silent member must not be chosen as the new backup
+    // The former primary also counts as silent in its role as a backup.
     if (auto it = replicas_.find(former_primary); it != replicas_.end())
-      it->second.last_contact = expired_contact();
+      it->second.last_contact = expired_contact_time();
   }
-  dump_log(id + " taken over: " + why);
+  dump_log(id + " taken over: " + reason);
 }
 
-// Waits for `replay`, at the pace at which this node replays. The other replicas hear of it each heartbeat: a long
-// replay would be silence to them, and they would claim in turn, and so on for ever.
+// Waits until the replay task has applied all entries up to the last go-live point. Announces the replay to the other
+// replicas every heartbeat interval: otherwise they would treat a long replay as a failure and claim the partition
+// repeatedly.
 auto partition::replay_before_go_live(partition_epoch claimed) -> task<void> {
   auto announced_at = host_.now() - context_.settings.heartbeat_interval;
-  while (must_replay(claimed)) {
+  while (is_replay_pending(claimed)) {
     if (host_.now() - announced_at >= context_.settings.heartbeat_interval) {
       announced_at = host_.now();
       announce_replay(claimed);
@@ -210,7 +215,7 @@
   }
 }
 
-auto partition::must_replay(partition_epoch claimed) const -> bool {
+auto partition::is_replay_pending(partition_epoch claimed) const -> bool {
   if (role_ == replica_role::primary || assignment_.epoch != claimed)
     return false;
   return log_.last_go_live_point(applied_index_) > applied_index_;
@@ -220,12 +225,13 @@
   for (const auto& member : assignment_.in_sync_replicas) {
     auto address = member == own_member() ? "" : address_of_member(context_.session.view, member);
     if (!address.empty())
-      context_.peer(address).send(encode(replay_announcement{.partition = id, .epoch = claimed}));
+      context_.peer_connection_to(address).send(encode(replay_announcement{.partition = id, .epoch = claimed}));
   }
 }
 
-// Follows the replicated log; cares for the replicas while this node leads, and claims where it may.
-auto partition::follow_and_lead() -> task<void> {
+// Applies new assignments and checks the role, at least once per heartbeat interval. A primary maintains its replicas;
+// a backup claims the partition if the primary has failed.
+auto partition::run_role_checks() -> task<void> {
   auto claim_delay = host_.jittered(context_.settings.heartbeat_interval);
   while (true) {
     co_await wait_for_next_check();
@@ -233,7 +239,7 @@
       continue;
     const auto& committed = context_.session.view.partitions;
     if (auto it = committed.find(id); it != committed.end())
-      apply_row(it->second);
+      apply_assignment(it->second);
     try {
       co_await check_role(claim_delay);
     } catch (const request_error& error) {
@@ -242,45 +248,47 @@
   }
 }
 
-// A heartbeat, or less if something has happened.
+// Waits for the heartbeat interval, or until check_wakeup_ or check_immediately_ requests an earlier check.
 auto partition::wait_for_next_check() -> task<void> {
   auto deadline = host_.now() + context_.settings.heartbeat_interval;
-  while (host_.now() < deadline && !check_at_once_) {
-    auto woken = co_await wake_up_.wait(host_, deadline);
+  while (host_.now() < deadline && !check_immediately_) {
+    auto woken = co_await check_wakeup_.wait(host_, deadline);
     if (woken)
       break;
   }
-  check_at_once_ = false;
+  check_immediately_ = false;
 }
 
-// One look at what this node has to do in its role. `claim_delay` is drawn anew after each claim against a primary that
-// gives no sign of life, so that two claimants do not meet again and again.
+// Performs one check of the role. Each claim against a silent primary sets a new random `claim_delay`, so that two
+// claimants do not collide repeatedly.
 auto partition::check_role(monotonic_time& claim_delay) -> task<void> {
   if (role_ == replica_role::primary) {
     co_await maintain_replicas();
     co_return;
   }
-  if (damaged_ || assignment_.epoch == 0 || context_.leaving())
+  if (is_damaged_ || assignment_.epoch == 0 || context_.is_leaving())
     co_return;
   if (assignment_.primary == own_member()) {
-    // After a restart too: it may have lost entries that it never acknowledged.
+    // An assigned primary that is not live claims a new epoch, also after a restart: it may have lost entries that it
+    // had not acknowledged.
     co_await claim(assignment_.epoch == 1 ? "first start" : "its primary is back");
   } else if (!assignment_.is_in_sync(own_member())) {
     co_return;
   } else if (is_disk_lost(context_.session.view, assignment_.primary)) {
     co_await claim("its primary's disk is lost");
-  } else if (followed_.process_gone || primary_is_silent(claim_delay)) {
+  } else if (followed_.process_gone || is_primary_silent(claim_delay)) {
     co_await claim(followed_.process_gone ? "its primary's process is gone" : "its primary is silent");
     claim_delay = host_.jittered(context_.settings.heartbeat_interval);
   }
 }
 
-// The backups wait longer by their place in the in-sync set, so that mostly one of them claims first.
-auto partition::primary_is_silent(monotonic_time claim_delay) const -> bool {
+// The silence timeout of a backup grows with its position in the in-sync set, so that usually only one backup claims.
+auto partition::is_primary_silent(monotonic_time claim_delay) const -> bool {
   auto backups = assignment_.backups();
-  auto place = std::find(backups.begin(), backups.end(), own_member()) - backups.begin();
-  auto patience = context_.settings.failure_timeout + claim_delay + context_.settings.heartbeat_interval * place;
-  return host_.now() - last_sign_of_primary() > patience;
+  auto backup_position = std::find(backups.begin(), backups.end(), own_member()) - backups.begin();
+  auto silence_timeout =
+      context_.settings.failure_timeout + claim_delay + context_.settings.heartbeat_interval * backup_position;
+  return host_.now() - last_primary_contact() > silence_timeout;
 }
 
 }  // namespace reachridge
--- a/src/storage/partition_replicas.cpp
+++ b/src/storage/partition_replicas.cpp
@@ -1,5 +1,5 @@
-// What a primary does for its replicas each heartbeat: it slows down for them, replaces lost ones, and hands over
-// (design 6.6, 6.7, 6.11).
+// Maintenance of a primary's replicas, performed every heartbeat interval: admission control, replacement of lost
+// replicas, and handover of the leadership (design 6.6, 6.7, 6.11).
 #include <algorithm>
 
 #include "runtime/log.hpp"
@@ -10,25 +10,26 @@
 namespace {
 
 constexpr auto min_replicas = std::size_t{2};
-constexpr auto join_timeout_factor = 15;       // a join that takes so many failure timeouts is given up
-constexpr auto in_touch_heartbeats = 3;        // a backup that is silent for so long is not slowed for
-constexpr auto clock_entries_per_timeout = 4;  // at least, while nothing else is logged (design 6.5)
+constexpr auto join_timeout_factor = 15;       // a join is abandoned after this number of failure timeouts
+constexpr auto max_silent_heartbeats = 3;      // the lag of a backup that is silent for longer is ignored
+constexpr auto clock_entries_per_timeout = 4;  // minimum per failure timeout of an otherwise idle log (design 6.5)
 
 }  // namespace
 
-// Where no messages are kept one backup is enough: what is lost with both replicas was never promised for longer.
-auto partition::wanted_replicas() const -> std::size_t {
+// Returns the configured number of replicas, at least two. A partition that retains no messages needs only one backup,
+// because the service does not guarantee its messages beyond the loss of both replicas.
+auto partition::target_replica_count() const -> std::size_t {
   return keeps_messages() ? std::max(min_replicas, static_cast<std::size_t>(context_.settings.replicas)) : min_replicas;
 }
 
-// The backups that are silent for the failure timeout, or whose disk is lost.
+// Returns the backups that have been silent for the failure timeout or have lost their disk.
 auto partition::lost_backups() const -> std::set<std::string> {
   auto lost = std::set<std::string>();
   for (const auto& member : assignment_.backups()) {
     auto it = replicas_.find(member);
-    auto silent = it == replicas_.end() ||
-                  (!in_touch(member) && host_.now() - it->second.last_contact > context_.settings.failure_timeout);
-    if (silent || is_disk_lost(context_.session.view, member))
+    auto is_silent = it == replicas_.end() || (!is_responsive(member) && host_.now() - it->second.last_contact >
+                                                                             context_.settings.failure_timeout);
+    if (is_silent || is_disk_lost(context_.session.view, member))
       lost.insert(member);
   }
   return lost;
@@ -50,26 +51,27 @@
   return current;
 }
 
-// The in-sync set once this member has joined it: without what is lost, and of the rest, above the number wanted,
-// without the one whose place it takes, those that leave, and the first of the others.
-auto partition::in_sync_with(const std::string& member, const placement_request& wanted) const
+// Returns the in-sync set after this member has joined it. Lost backups are removed. If more replicas remain than the
+// target count, surplus backups are removed in this order: the backup that the placement request replaces, backups on
+// nodes that are leaving, then the first of the other backups.
+auto partition::in_sync_set_with(const std::string& member, const placement_request& request) const
     -> std::vector<std::string> {
   auto lost = lost_backups();
-  auto staying = std::vector<std::string>();
+  auto remaining = std::vector<std::string>();
   for (const auto& backup : assignment_.backups())
     if (!lost.count(backup) && node_of_member(backup) != node_of_member(member))
-      staying.push_back(backup);
-  auto drop_surplus = [&](const auto& may_go) {
-    while (staying.size() + 2 > wanted_replicas()) {  // besides the primary and the new member
-      auto it = std::find_if(staying.begin(), staying.end(), may_go);
-      if (it == staying.end())
+      remaining.push_back(backup);
+  auto drop_surplus = [&](const auto& can_drop) {
+    while (remaining.size() + 2 > target_replica_count()) {  // 2: the primary and the new member
+      auto it = std::find_if(remaining.begin(), remaining.end(), can_drop);
+      if (it == remaining.end())
         break;
-      staying.erase(it);
+      remaining.erase(it);
     }
   };
-  if (wanted.backup == member)
+  if (request.backup == member)
     drop_surplus([&](const auto& backup) {
-      return node_of_member(backup) == wanted.replaced;
+      return node_of_member(backup) == request.replaced;
     });
   drop_surplus([&](const auto& backup) {
     return is_member_leaving(context_.session.view, backup);
@@ -78,20 +80,21 @@
     return true;
   });
   auto in_sync = std::vector<std::string>{own_member()};
-  in_sync.insert(in_sync.end(), staying.begin(), staying.end());
+  in_sync.insert(in_sync.end(), remaining.begin(), remaining.end());
   in_sync.push_back(member);
   return in_sync;
 }
 
-// Lost backups go before a new one joins, and both before a handover: each step works on the set the last one left.
+// Performs one round of maintenance. Lost backups are dropped before a new backup joins, and both steps precede a
+// handover, because each step uses the in-sync set that the previous step leaves.
 auto partition::maintain_replicas() -> task<void> {
-  log_time();
-  settle_joined_replica();
-  forget_former_replicas();
-  finish_disconnected_subscriptions();
+  append_clock_and_configuration();
+  resolve_join();
+  remove_former_replicas();
+  close_expired_subscriptions();
   for (const auto& backup : assignment_.backups())
-    start_feed(backup);
-  slow_for_lag();
+    start_replication(backup);
+  adjust_admission();
   co_await drop_lost_backups();
   if (role_ == replica_role::primary)
     co_await restore_replicas();
@@ -99,11 +102,11 @@
     co_await hand_over();
 }
 
-// Logs a clock entry while nothing else is logged, and what a new configuration alters.
-auto partition::log_time() -> void {
+// Appends a clock entry if the log has been idle, and an entry with the changes of a new configuration.
+auto partition::append_clock_and_configuration() -> void {
   auto configuration = configuration_entry();
   auto longest_pause = context_.settings.failure_timeout / clock_entries_per_timeout;
-  if (handing_over_ || (!configuration && host_.now() - clock_logged_at_ < longest_pause))
+  if (is_handing_over_ || (!configuration && host_.now() - last_clock_entry_at_ < longest_pause))
     return;
   auto entries = clock_entry();
   if (configuration)
@@ -112,121 +115,123 @@
     append_operation(std::move(entries));
 }
 
-// Notices a proposal whose answer was lost, but which the replicated log has committed.
-auto partition::settle_joined_replica() -> void {
+// Completes a join if the replicated log has committed it but the reply to the proposal was lost.
+auto partition::resolve_join() -> void {
   if (!join_.member.empty() && assignment_.is_in_sync(join_.member)) {
     join_.member.clear();
-    join_.excluded.clear();
+    join_.excluded_members.clear();
   }
-  // A proposal without an answer may still be committed, until the epoch it builds on is past.
-  if (join_.member.empty() && join_.unsettled_epoch != assignment_.epoch)
+  // A proposal without a reply may still be committed until the epoch that it is based on has passed.
+  if (join_.member.empty() && join_.unresolved_epoch != assignment_.epoch)
     join_.required_acks.clear();
 }
 
-auto partition::forget_former_replicas() -> void {
+auto partition::remove_former_replicas() -> void {
   std::erase_if(replicas_, [&](const auto& replica) {
     return !assignment_.is_in_sync(replica.first) && replica.first != join_.member;
   });
 }
 
-auto partition::finish_disconnected_subscriptions() -> void {
+auto partition::close_expired_subscriptions() -> void {
   auto expired = std::vector<std::string>();
-  for (const auto& [subscription, since] : disconnected_)
+  for (const auto& [subscription, since] : disconnected_since_)
     if (host_.now() - since > context_.settings.resend_window)
       expired.push_back(subscription);
   for (const auto& subscription : expired)
     finish({subscription});
 }
 
-// Slows admission by the largest replay lag of the backups (design 6.7).
-auto partition::slow_for_lag() -> void {
-  auto any_in_touch = false;
+// Adjusts the admission rate to the largest replay lag of the backups (design 6.7).
+auto partition::adjust_admission() -> void {
+  auto any_responsive = false;
   auto lag = monotonic_time{0};
   for (const auto& backup : assignment_.backups()) {
     auto it = replicas_.find(backup);
-    // A silent backup does not lag, it may be gone: slowing does not help.
+    // A silent backup may have failed. Slower admission would not reduce its lag.
     if (it == replicas_.end() || !it->second.joined ||
-        host_.now() - it->second.last_contact >= context_.settings.heartbeat_interval * in_touch_heartbeats)
+        host_.now() - it->second.last_contact >= context_.settings.heartbeat_interval * max_silent_heartbeats)
       continue;
-    any_in_touch = true;
+    any_responsive = true;
     lag = std::max(lag, replay_lag(it->second));
   }
-  if (any_in_touch)
+  if (any_responsive)
     admission_.adjust(lag, context_.settings.lag_limit, context_.settings.slow_for_lag, host_.now());
 }
 
-// Backups that are lost leave the in-sync set at once, where one in touch stays: outputs wait for all in sync. Where
-// no messages are kept the primary may go on alone; where they are kept its set shrinks no further than two (design
-// 6.9, 6.11).
+// Removes lost backups from the in-sync set, because outputs wait for every in-sync replica. If the partition retains
+// messages, at least one responsive backup must remain in the set; otherwise the primary may continue alone
+// (design 6.9, 6.11).
 auto partition::drop_lost_backups() -> task<void> {
   auto lost = lost_backups();
   auto backups = assignment_.backups();
-  auto one_stays = std::any_of(backups.begin(), backups.end(), [&](const auto& backup) {
-    return !lost.count(backup) && in_touch(backup);
+  auto has_responsive_backup = std::any_of(backups.begin(), backups.end(), [&](const auto& backup) {
+    return !lost.count(backup) && is_responsive(backup);
   });
-  auto out_of_reach = (!lost.empty() && !one_stays) || awaits_silent_backup();
-  if (out_of_reach && !waiting_publishes_.empty())
-    reject_waiting("the second copy is out of reach");
-  if (lost.empty() || (keeps_messages() && !one_stays))
+  auto is_replication_stalled = (!lost.empty() && !has_responsive_backup) || is_waiting_for_silent_backup();
+  if (is_replication_stalled && !waiting_publishes_.empty())
+    fail_waiting_requests("the second copy is out of reach");
+  if (lost.empty() || (keeps_messages() && !has_responsive_backup))
     co_return;
   auto next = assignment_;
   std::erase_if(next.in_sync_replicas, [&](const auto& member) {
     return lost.count(member) > 0;
   });
-  auto won = co_await propose(next, "a backup is silent");
-  if (!won || role_ != replica_role::primary)
+  auto is_accepted = co_await propose(next, "a backup is silent");
+  if (!is_accepted || role_ != replica_role::primary)
     co_return;
   for (const auto& member : lost) {
     replicas_.erase(member);
     log_info("goes on without " + member);
   }
-  release();
+  release_outputs();
 }
 
+// Chooses a new backup if replicas are missing, or follows a placement request, and continues a join in progress. A
+// join that is no longer needed is abandoned.
 auto partition::restore_replicas() -> task<void> {
   auto lost = lost_backups();
-  auto sound = assignment_.backups();
-  std::erase_if(sound, [&](const auto& backup) {
+  auto healthy_backups = assignment_.backups();
+  std::erase_if(healthy_backups, [&](const auto& backup) {
     return lost.count(backup) > 0 || is_member_leaving(context_.session.view, backup);
   });
-  auto lacks_replicas = sound.size() + 1 < wanted_replicas();
-  auto wanted = current_placement_request();
-  auto may_choose = sound.empty() || host_.now() >= join_.next_choice_at;
-  if (join_.member.empty() && lacks_replicas && may_choose)
-    co_await choose_new_backup(sound);
+  auto lacks_replicas = healthy_backups.size() + 1 < target_replica_count();
+  auto request = current_placement_request();
+  auto can_choose = healthy_backups.empty() || host_.now() >= join_.next_choice_at;
+  if (join_.member.empty() && lacks_replicas && can_choose)
+    co_await choose_new_backup(healthy_backups);
   if (role_ != replica_role::primary)
     co_return;
-  // Where no node is left to choose, the load of those there are may still be evened out.
-  if (join_.member.empty() && !sound.empty() && !wanted.backup.empty())
-    begin_join(wanted.backup);
-  auto not_needed = !lacks_replicas && join_.member != wanted.backup;
-  if (not_needed && !join_.member.empty() && join_.unsettled_epoch != assignment_.epoch) {
+  // If no new backup could be chosen, a requested move between existing nodes can still balance the load.
+  if (join_.member.empty() && !healthy_backups.empty() && !request.backup.empty())
+    begin_join(request.backup);
+  auto is_join_unneeded = !lacks_replicas && join_.member != request.backup;
+  if (is_join_unneeded && !join_.member.empty() && join_.unresolved_epoch != assignment_.epoch) {
     replicas_.erase(join_.member);
     join_.member.clear();
   }
   if (!join_.member.empty())
-    co_await bring_in_sync();
+    co_await complete_join();
 }
 
 auto partition::begin_join(const std::string& member) -> void {
   join_.member = member;
   join_.since = host_.now();
   replicas_.erase(member);
-  start_feed(member);
+  start_replication(member);
 }
 
-// Asks the control nodes for a node for another replica, besides those that stay.
-auto partition::choose_new_backup(const std::vector<std::string>& staying) -> task<void> {
-  auto excluded = array{own_member()};  // members, not nodes: one that is back with a new disk may be chosen
+// Asks the control nodes for a member to become a new backup in addition to the remaining backups, and begins its join.
+auto partition::choose_new_backup(const std::vector<std::string>& remaining) -> task<void> {
+  auto excluded = array{own_member()};  // members, not nodes: a node that is back with a new disk may be chosen
   for (const auto& backup : assignment_.backups())
     excluded.emplace_back(backup);
-  for (const auto& member : join_.excluded)
+  for (const auto& member : join_.excluded_members)
     excluded.emplace_back(member);
   auto request = value(object{{"op", "draw"},
                               {"cell", id},
                               {"zone", context_.settings.zone},
                               {"not", excluded},
-                              {"with", array(staying.begin(), staying.end())}});
+                              {"with", array(remaining.begin(), remaining.end())}});
   try {
     auto reply = co_await context_.session.call(std::move(request), host_.now() + context_.settings.request_timeout);
     if (role_ != replica_role::primary)
@@ -235,129 +240,134 @@
     log_info("chooses " + member + " as a new backup");
     begin_join(member);
   } catch (const request_error& error) {
-    join_.excluded.clear();
+    join_.excluded_members.clear();
     join_.next_choice_at = host_.now() + context_.settings.failure_timeout / 2;
     reachridge::log(log_level::debug, context_.settings.name, id + ": " + error.what());
   }
 }
 
-// Makes the joining replica a member of the in-sync set once it has every entry of which an output has left: it may
-// have to claim a moment later, alone with them. From when it is near, outputs wait for its acknowledgement too, or
-// the end it has to reach would move on (design 6.6).
-auto partition::bring_in_sync() -> task<void> {
+// Adds the joining replica to the in-sync set as soon as it has every entry with a released output, because the replica
+// may have to claim the partition immediately afterwards as the only survivor. After the replica has nearly caught up,
+// outputs also wait for its acknowledgement; otherwise the index that it has to reach would keep advancing
+// (design 6.6).
+auto partition::complete_join() -> task<void> {
   auto member = join_.member;
   auto& replica = replicas_[member];
-  auto near = in_touch(member) &&
-              std::min(replica.acknowledged_index, replica.applied_index) >= last_index() - max_entries_behind;
-  if (near)
+  auto is_nearly_caught_up = is_responsive(member) && std::min(replica.acknowledged_index, replica.applied_index) >=
+                                                          last_index() - max_entries_behind;
+  if (is_nearly_caught_up)
     join_.required_acks.insert(member);
-  if (near && replica.acknowledged_index < released_index_)
-    co_return;  // on_acknowledgement wakes us when it has them
-  if (!near) {
+  if (is_nearly_caught_up && replica.acknowledged_index < released_index_)
+    co_return;  // on_acknowledgement wakes run_role_checks when the replica has these entries
+  if (!is_nearly_caught_up) {
     if (join_timed_out(replica))
-      co_await give_up_join();
+      co_await abandon_join();
     co_return;
   }
-  auto won = co_await propose_in_sync(member);
-  if (!won || role_ != replica_role::primary)
+  auto is_accepted = co_await propose_in_sync_set(member);
+  if (!is_accepted || role_ != replica_role::primary)
     co_return;
   join_.member.clear();
-  join_.excluded.clear();
+  join_.excluded_members.clear();
   admission_.reset_share();
   log_info(member + " is in sync now");
-  check_at_once_ = assignment_.in_sync_replicas.size() < wanted_replicas();  // the next replica is sought at once
-  release();
+  check_immediately_ =
+      assignment_.in_sync_replicas.size() < target_replica_count();  // chooses the next replica immediately
+  release_outputs();
 }
 
 auto partition::join_timed_out(const replica_progress& replica) const -> bool {
   auto timeout = context_.settings.failure_timeout;
-  auto silent = host_.now() - std::max(join_.since, replica.last_contact) > timeout;
-  auto too_long = host_.now() - join_.since > timeout * join_timeout_factor;
-  return replica.process_gone || silent || too_long;
+  auto is_silent = host_.now() - std::max(join_.since, replica.last_contact) > timeout;
+  auto is_overdue = host_.now() - join_.since > timeout * join_timeout_factor;
+  return replica.process_gone || is_silent || is_overdue;
 }
 
-// While it is not known whether the proposal was committed, outputs go on waiting for the member (design 6.6).
-auto partition::propose_in_sync(const std::string& member) -> task<bool> {
+// Proposes the in-sync set with this member. Returns whether the proposal was committed. While the result is unknown,
+// outputs keep waiting for the member's acknowledgement (design 6.6).
+auto partition::propose_in_sync_set(const std::string& member) -> task<bool> {
   auto next = assignment_;
-  next.in_sync_replicas = in_sync_with(member, current_placement_request());
-  auto won = false;
+  next.in_sync_replicas = in_sync_set_with(member, current_placement_request());
+  auto is_accepted = false;
   try {
-    won = co_await propose(next, "redundancy restored");
+    is_accepted = co_await propose(next, "redundancy restored");
   } catch (const request_error& error) {
     if (error.outcome != execution_outcome::not_executed)
-      join_.unsettled_epoch = assignment_.epoch;
-    else if (join_.unsettled_epoch != assignment_.epoch)
+      join_.unresolved_epoch = assignment_.epoch;
+    else if (join_.unresolved_epoch != assignment_.epoch)
       join_.required_acks.clear();
     throw;
   }
-  if (join_.unsettled_epoch != assignment_.epoch)
+  if (join_.unresolved_epoch != assignment_.epoch)
     join_.required_acks.clear();
-  co_return won;
+  co_return is_accepted;
 }
 
-auto partition::give_up_join() -> task<void> {
+auto partition::abandon_join() -> task<void> {
   log_info("gives up on " + join_.member);
-  // First the epoch is raised, so that the proposal without an answer can never be committed.
-  if (join_.unsettled_epoch == assignment_.epoch) {
-    auto won = co_await propose(assignment_, "settles a move without an answer");
-    if (!won || role_ != replica_role::primary)
+  // Raises the epoch, so that an earlier proposal without a reply can no longer be committed.
+  if (join_.unresolved_epoch == assignment_.epoch) {
+    auto is_accepted = co_await propose(assignment_, "settles a move without an answer");
+    if (!is_accepted || role_ != replica_role::primary)
       co_return;
     join_.required_acks.clear();
   }
-  join_.excluded.insert(join_.member);
+  join_.excluded_members.insert(join_.member);
   replicas_.erase(join_.member);
   join_.member.clear();
 }
 
-// Hands over to a backup that has everything: if this node leaves, or the control nodes ask for it.
+// Hands over the leadership to a backup with the complete log if this node is leaving or the control nodes request a
+// handover.
 auto partition::hand_over() -> task<void> {
-  auto wanted = current_placement_request();
-  auto must_leave = context_.leaving() || context_.session.view.is_draining(context_.session.self);
-  if (!wanted.hand_over && !must_leave)
+  auto request = current_placement_request();
+  auto is_leaving = context_.is_leaving() || context_.session.view.is_draining(context_.session.self);
+  if (!request.hand_over && !is_leaving)
     co_return;
-  auto successor = choose_successor(wanted);
+  auto successor = choose_successor(request);
   if (successor.empty())
     co_return;
-  handing_over_ = true;  // from here on nothing new is taken
-  co_await wait_until_complete(successor);
+  is_handing_over_ = true;  // rejects new publishes and subscriptions from now on
+  co_await wait_until_caught_up(successor);
   if (role_ == replica_role::primary && pending_outputs_.empty() && has_all_entries(successor)) {
     auto next = assignment_;
     next.primary = successor;
     try {
       co_await propose(next, "handed over");
     } catch (const request_error&) {
-      // Whoever leads by the replicated log's word is found below, or by the next look at it.
+      // The result is unknown. The code below or the next role check finds the committed assignment.
     }
   }
   if (role_ != replica_role::primary)
     co_return;
   if (assignment_.primary == own_member())
-    handing_over_ = false;
+    is_handing_over_ = false;
   else
-    halt("handed over to " + assignment_.primary);
+    step_down("handed over to " + assignment_.primary);
 }
 
-// The backup in touch that is asked for, or else the first that stays; empty if there is none.
-auto partition::choose_successor(const placement_request& wanted) const -> std::string {
+// Returns the responsive backup on the requested node, or the first responsive backup that is not leaving. Returns an
+// empty string if there is no such backup.
+auto partition::choose_successor(const placement_request& request) const -> std::string {
   auto lost = lost_backups();
   auto successor = std::string();
   for (const auto& backup : assignment_.backups()) {
-    if (lost.count(backup) || !in_touch(backup) || is_member_leaving(context_.session.view, backup))
+    if (lost.count(backup) || !is_responsive(backup) || is_member_leaving(context_.session.view, backup))
       continue;
-    if (successor.empty() || node_of_member(backup) == wanted.new_primary)
+    if (successor.empty() || node_of_member(backup) == request.new_primary)
       successor = backup;
   }
   return successor;
 }
 
-// Waits, at most for the failure timeout, until all outputs have left and the successor has the whole log.
-auto partition::wait_until_complete(const std::string& successor) -> task<void> {
+// Waits until all outputs are released and the successor has the complete log, at most for the failure timeout.
+auto partition::wait_until_caught_up(const std::string& successor) -> task<void> {
   auto deadline = host_.now() + context_.settings.failure_timeout;
-  auto complete = [&] {
+  auto is_caught_up = [&] {
     return pending_outputs_.empty() && has_all_entries(successor) && log_.synced_index() >= last_index();
   };
-  while (role_ == replica_role::primary && host_.now() < deadline && !complete()) {
-    log_grown_.wake();
+  while (role_ == replica_role::primary && host_.now() < deadline && !is_caught_up()) {
+    replication_wakeup_.wake();
     co_await sleep_for(host_, context_.settings.heartbeat_interval / 8);
   }
 }
--- a/src/storage/partition_replication.cpp
+++ b/src/storage/partition_replication.cpp
@@ -1,4 +1,5 @@
-// The primary's side of replication: one task for each replica that it feeds (design 6.2, 6.6).
+// The primary's side of replication. The primary runs one task for each other replica: the task joins the replica, then
+// streams log entries to it (design 6.2, 6.6).
 #include "storage/partition.hpp"
 
 #include <algorithm>
@@ -8,184 +9,188 @@
 namespace reachridge {
 namespace {
 
-constexpr auto max_message_bytes = std::size_t{256} << 10;  // of entries, about
-constexpr auto state_chunk_bytes = max_message_bytes / 2;   // a byte of state takes two digits in its message
-constexpr auto max_unsent_bytes = max_message_bytes * 4;    // of a connection, before entries are held back
+constexpr auto max_message_bytes = std::size_t{256} << 10;  // approximate limit for the entries of one message
+constexpr auto state_chunk_bytes = max_message_bytes / 2;   // a message encodes each byte of state as two hex digits
+constexpr auto max_unsent_bytes = max_message_bytes * 4;    // above this limit a connection is congested
 
-// Whether a replica refused a message since it follows a primary of a newer epoch.
-auto names_newer_epoch(const request_error& error, partition_epoch epoch) -> bool {
+// Whether a replica rejected a message because it follows a primary of a newer epoch.
+auto reports_newer_epoch(const request_error& error, partition_epoch epoch) -> bool {
   return error.code == errc::old_epoch && get_int_or(error.details, "epoch", 0) > epoch;
 }
 
 }  // namespace
 
-// How long ago the first entry was appended that this replica has not applied. What it lacked when it joined does not
-// count (design 6.7).
+// Returns the age of the oldest entry that this replica has not applied. Entries that the replica lacked when it joined
+// do not count (design 6.7).
 auto partition::replay_lag(const replica_progress& replica) const -> monotonic_time {
-  auto applied = std::max(replica.applied_index, replica.lacked_at_join);
-  auto lacks_some = applied >= log_.base_index() && applied < last_index();
-  return lacks_some ? host_.now() - log_.at(applied + 1).appended_at : 0;
+  auto applied = std::max(replica.applied_index, replica.last_index_at_join);
+  auto lacks_entries = applied >= log_.base_index() && applied < last_index();
+  return lacks_entries ? host_.now() - log_.at(applied + 1).appended_at : 0;
 }
 
-auto partition::in_touch(const std::string& member) const -> bool {
+auto partition::is_responsive(const std::string& member) const -> bool {
   auto it = replicas_.find(member);
   return it != replicas_.end() && it->second.joined &&
          host_.now() - it->second.last_contact <= context_.settings.failure_timeout;
 }
 
-// A member whose connection was closed has two heartbeats to open it again: one that lives does, one whose process was
-// killed does not (design 6.5).
+// Returns the last contact time to use after the connection to a member was closed. It leaves two heartbeat intervals
+// until the failure timeout: a live member reconnects within this time, a killed process does not (design 6.5).
 auto partition::contact_after_disconnect(monotonic_time last_contact) const -> monotonic_time {
   return std::min(last_contact,
                   host_.now() - context_.settings.failure_timeout + context_.settings.heartbeat_interval * 2);
 }
 
-// The time of last contact that makes a member count as silent from now on.
-auto partition::expired_contact() const -> monotonic_time {
+// Returns a last contact time that makes a member count as silent immediately.
+auto partition::expired_contact_time() const -> monotonic_time {
   return host_.now() - context_.settings.failure_timeout - 1;
 }
 
-auto partition::start_feed(const std::string& member) -> void {
+auto partition::start_replication(const std::string& member) -> void {
   if (member.empty() || replicas_.count(member))
     return;
   auto& replica = replicas_[member];
-  replica.last_contact = replica.feeding_since = host_.now();
-  replica.feed_number = ++last_feed_number_;
-  tasks_.spawn(feed({.member = member, .leadership = leadership_number_, .number = replica.feed_number}));
+  replica.last_contact = replica.replicating_since = host_.now();
+  replica.replication_number = ++last_replication_number_;
+  tasks_.spawn(replicate({.member = member, .leadership = leadership_number_, .number = replica.replication_number}));
 }
 
-// Of two tasks that feed one replica only the later goes on (design 6.11).
-auto partition::is_current(const feed_run& run) const -> bool {
+// Whether the run is the latest replication task of its replica in the current leadership. If two tasks replicate to
+// the same replica, only the later one continues (design 6.11).
+auto partition::is_current_run(const replication_run& run) const -> bool {
   if (role_ != replica_role::primary || leadership_number_ != run.leadership)
     return false;
   auto it = replicas_.find(run.member);
-  return it != replicas_.end() && it->second.feed_number == run.number;
+  return it != replicas_.end() && it->second.replication_number == run.number;
 }
 
-// Feeds one replica as long as this node leads: joins it, streams entries, and again after every interruption.
-auto partition::feed(feed_run run) -> task<void> {
-  while (is_current(run)) {
+// Replicates to one replica while this node is the primary: joins the replica, streams entries, and repeats both after
+// every interruption.
+auto partition::replicate(replication_run run) -> task<void> {
+  while (is_current_run(run)) {
     auto address = address_of_member(context_.session.view, run.member);
     if (address.empty()) {
       co_await sleep_for(host_, context_.settings.heartbeat_interval);
       continue;
     }
-    auto& connection = context_.peer(address);
+    auto& connection = context_.peer_connection_to(address);
     auto only_epoch_changed = false;
     try {
-      only_epoch_changed = co_await feed_over(run, connection);
+      only_epoch_changed = co_await replicate_over(run, connection);
     } catch (const request_error& error) {
-      if (is_current(run) && names_newer_epoch(error, assignment_.epoch))
-        halt("its replica follows a newer epoch");
+      if (is_current_run(run) && reports_newer_epoch(error, assignment_.epoch))
+        step_down("its replica follows a newer epoch");
     }
-    if (!is_current(run))
+    if (!is_current_run(run))
       break;
     if (only_epoch_changed)
-      continue;  // join again at once
-    on_feed_interrupted(replicas_[run.member], connection);
+      continue;  // rejoin immediately
+    on_replication_interrupted(replicas_[run.member], connection);
     co_await sleep_for(
         host_, connection.is_up() ? context_.settings.heartbeat_interval : context_.settings.heartbeat_interval / 8);
   }
 }
 
-// Returns, once the stream has ended, whether only the epoch has changed.
-auto partition::feed_over(const feed_run& run, peer_connection& connection) -> task<bool> {
+// Joins the replica and streams entries to it. Returns whether the stream ended only because the epoch changed.
+auto partition::replicate_over(const replication_run& run, peer_connection& connection) -> task<bool> {
   auto joined = co_await join_replica(run, connection);
   if (!joined)
     co_return false;
-  release();
-  wake_up_.wake();
+  release_outputs();
+  check_wakeup_.wake();
   co_return co_await stream_entries(run, connection);
 }
 
-// Compares the logs and, if they part, copies the state. Returns false if the run has ended meanwhile.
-auto partition::join_replica(const feed_run& run, peer_connection& connection) -> task<bool> {
+// Compares the replica's log with this log and copies the state if the replica cannot continue its own log. Returns
+// false if the run has ended.
+auto partition::join_replica(const replication_run& run, peer_connection& connection) -> task<bool> {
   auto join = ++last_join_id_;
   auto request = encode(replica_join_request{
       .partition = id, .epoch = assignment_.epoch, .primary = own_member(), .join = join, .last_index = last_index()});
   auto answer = co_await connection.call(std::move(request), host_.now() + context_.settings.failure_timeout);
-  if (!is_current(run))
+  if (!is_current_run(run))
     co_return false;
-  auto joined_at = decode_replica_join_reply(answer);
-  if (continues_own_log(joined_at)) {
-    log_info(run.member + " joins with its own log up to " + std::to_string(joined_at.last_index) + ", synced up to " +
-             std::to_string(joined_at.synced_index));
+  auto join_reply = decode_replica_join_reply(answer);
+  if (can_continue_own_log(join_reply)) {
+    log_info(run.member + " joins with its own log up to " + std::to_string(join_reply.last_index) + ", synced up to " +
+             std::to_string(join_reply.synced_index));
   } else {
-    auto copied = co_await copy_state(run, connection, join);
-    if (!copied)
+    auto copied_index = co_await copy_state(run, connection, join);
+    if (!copied_index)
       co_return false;
-    joined_at.last_index = joined_at.applied_index = joined_at.synced_index = *copied;
+    join_reply.last_index = join_reply.applied_index = join_reply.synced_index = *copied_index;
     ++replicas_[run.member].copies;
-    log_info("copied to " + run.member + " at " + std::to_string(*copied));
+    log_info("copied to " + run.member + " at " + std::to_string(*copied_index));
   }
-  begin_streaming(replicas_[run.member], joined_at);
+  begin_streaming(replicas_[run.member], join_reply);
   co_return true;
 }
 
-// Whether the replica's log is a prefix of ours that is near enough to go on from.
-auto partition::continues_own_log(const replica_join_reply& reply) const -> bool {
-  // One that would have long to replay is sooner up to date with a copy.
+// Whether the replica can keep its log: the log is a prefix of this log and lacks few enough entries.
+auto partition::can_continue_own_log(const replica_join_reply& reply) const -> bool {
+  // A replica with more entries to replay catches up faster with a copy of the state.
   auto little_to_replay = last_index() - reply.applied_index <= max_entries_behind;
-  auto in_memory = reply.last_index >= log_.base_index() && reply.last_index <= last_index();
-  auto same_log = in_memory && log_.epoch_at(reply.last_index) == reply.last_epoch;
-  return !reply.damaged && little_to_replay && same_log;
+  auto is_in_memory = reply.last_index >= log_.base_index() && reply.last_index <= last_index();
+  auto logs_match = is_in_memory && log_.epoch_at(reply.last_index) == reply.last_epoch;
+  return !reply.damaged && little_to_replay && logs_match;
 }
 
-// The state is captured between two operations; the partition goes on meanwhile (paper 3.1). Returns the index of the
-// copy, or none if the run has ended.
-auto partition::copy_state(const feed_run& run, peer_connection& connection, join_id join)
+// Sends a copy of the state to the replica. The state is captured between two operations, and the partition continues
+// to serve requests during the transfer (paper 3.1). Returns the log index of the copy, or no value if the run has
+// ended.
+auto partition::copy_state(const replication_run& run, peer_connection& connection, join_id join)
     -> task<std::optional<entry_index>> {
   auto index = applied_index_;
   auto bytes = encode_with_checksum(
       encode(partition_snapshot{.index = index, .epoch = log_.epoch_at(index), .state = state_.take_snapshot()}));
   auto epoch = assignment_.epoch;
-  auto sent = std::size_t{0};
-  for (auto part = std::size_t{0}; sent < bytes.size(); ++part) {
+  auto sent_bytes = std::size_t{0};
+  for (auto part = std::size_t{0}; sent_bytes < bytes.size(); ++part) {
     auto chunk = state_chunk{.partition = id,
                              .epoch = epoch,
                              .primary = own_member(),
                              .join = join,
                              .part = part,
-                             .bytes = bytes.substr(sent, state_chunk_bytes)};
-    sent += chunk.bytes.size();
-    chunk.last = sent >= bytes.size();
+                             .bytes = bytes.substr(sent_bytes, state_chunk_bytes)};
+    sent_bytes += chunk.bytes.size();
+    chunk.last = sent_bytes >= bytes.size();
     auto request = encode(chunk);
     co_await connection.call(std::move(request), host_.now() + context_.settings.failure_timeout);
-    if (!is_current(run))
+    if (!is_current_run(run))
       co_return std::nullopt;
     replicas_[run.member].last_contact = host_.now();
   }
   co_return index;
 }
 
-auto partition::begin_streaming(replica_progress& replica, const replica_join_reply& joined_at) -> void {
-  replica.next_index = joined_at.last_index + 1;
-  // Only what is on its disk counts as acknowledged (Output Rule, design 6.3).
-  replica.acknowledged_index = std::min(joined_at.last_index, joined_at.synced_index);
-  replica.applied_index = joined_at.applied_index;
-  replica.lacked_at_join = last_index();
+auto partition::begin_streaming(replica_progress& replica, const replica_join_reply& join_reply) -> void {
+  replica.next_index = join_reply.last_index + 1;
+  // Only entries that are durable on the replica's disk count as acknowledged (Output Rule, design 6.3).
+  replica.acknowledged_index = std::min(join_reply.last_index, join_reply.synced_index);
+  replica.applied_index = join_reply.applied_index;
+  replica.last_index_at_join = last_index();
   replica.joined = true;
   replica.process_gone = false;
   replica.rejected = false;
   replica.last_contact = host_.now();
 }
 
-// Sends entries as they come, and at least one message each heartbeat, which the replica acknowledges. Returns, once it
-// may not go on, whether only the epoch has changed.
-auto partition::stream_entries(const feed_run& run, peer_connection& connection) -> task<bool> {
+// Streams new entries to the replica. Sends at least one message per heartbeat interval, which the replica
+// acknowledges. Returns whether the stream ended only because the epoch changed.
+auto partition::stream_entries(const replication_run& run, peer_connection& connection) -> task<bool> {
   auto epoch = assignment_.epoch;
   while (may_stream(run, connection, epoch)) {
     auto& replica = replicas_[run.member];
     if (replica.next_index <= log_.base_index())
-      break;  // trimmed away: copy again
+      break;  // the entry is no longer in memory: the replica needs a new copy of the state
     auto congested = connection.active && connection.active->unsent_bytes() > max_unsent_bytes;
     connection.send(encode(next_entries(replica, congested)));
     if (replica.next_index > last_index() || congested)
-      co_await log_grown_.wait(host_, host_.now() + context_.settings.heartbeat_interval);
+      co_await replication_wakeup_.wait(host_, host_.now() + context_.settings.heartbeat_interval);
     else
-      co_await sleep_until(host_, 0);  // lets other tasks run between two messages
+      co_await sleep_until(host_, 0);  // yields to other tasks between two messages
   }
-  if (!is_current(run))
+  if (!is_current_run(run))
     co_return false;
   auto& replica = replicas_[run.member];
   if (!connection.is_up())
@@ -193,15 +198,16 @@
   co_return connection.is_up() && !replica.rejected && assignment_.epoch != epoch;
 }
 
-auto partition::may_stream(const feed_run& run, const peer_connection& connection, partition_epoch epoch) const
+auto partition::may_stream(const replication_run& run, const peer_connection& connection, partition_epoch epoch) const
     -> bool {
-  if (!is_current(run) || !connection.is_up() || assignment_.epoch != epoch)
+  if (!is_current_run(run) || !connection.is_up() || assignment_.epoch != epoch)
     return false;
   const auto& replica = replicas_.at(run.member);
   return !replica.rejected && host_.now() - replica.last_contact <= context_.settings.failure_timeout;
 }
 
-// The next entries for this replica, up to the bound of a message; none where its connection is congested.
+// Returns a message with the next entries for this replica, up to max_message_bytes. The message has no entries if the
+// connection is congested.
 auto partition::next_entries(replica_progress& replica, bool congested) -> append_message {
   auto previous = replica.next_index - 1;
   auto message = append_message{.partition = id,
@@ -219,16 +225,17 @@
   return message;
 }
 
-// A replica whose process is dead, not only silent, is replaced at once (design 6.5).
-auto partition::on_feed_interrupted(replica_progress& replica, const peer_connection& connection) -> void {
+// Marks the replica as not joined. If the replica's process is known to have terminated, the replica counts as silent
+// immediately and is replaced without waiting for the failure timeout (design 6.5).
+auto partition::on_replication_interrupted(replica_progress& replica, const peer_connection& connection) -> void {
   replica.joined = false;
-  auto process_gone = connection.refused_at() > replica.feeding_since;
+  auto process_gone = connection.refused_at() > replica.replicating_since;
   if (!process_gone || replica.process_gone)
     return;
   replica.process_gone = true;
-  replica.last_contact = expired_contact();
-  check_at_once_ = true;
-  wake_up_.wake();
+  replica.last_contact = expired_contact_time();
+  check_immediately_ = true;
+  check_wakeup_.wake();
 }
 
 auto partition::on_acknowledgement(const replica_acknowledgement& message) -> void {
@@ -238,7 +245,7 @@
   auto& replica = it->second;
   if (message.rejected) {
     replica.rejected = true;
-    log_grown_.wake();
+    replication_wakeup_.wake();
     return;
   }
   if (!replica.joined)
@@ -246,11 +253,11 @@
   replica.last_contact = host_.now();
   replica.acknowledged_index = std::max(replica.acknowledged_index, message.synced_index);
   replica.applied_index = std::max(replica.applied_index, message.applied_index);
-  // bring_in_sync waits for this.
-  auto joins = message.member == join_.member && join_.required_acks.count(message.member) > 0;
-  if (joins && replica.acknowledged_index >= released_index_)
-    wake_up_.wake();
-  release();
+  // complete_join waits until the joining replica has acknowledged every entry with a released output.
+  auto is_joining = message.member == join_.member && join_.required_acks.count(message.member) > 0;
+  if (is_joining && replica.acknowledged_index >= released_index_)
+    check_wakeup_.wake();
+  release_outputs();
 }
 
 }  // namespace reachridge
--- a/src/storage/partition_requests.cpp
+++ b/src/storage/partition_requests.cpp
@@ -1,4 +1,4 @@
-// What clients ask of a partition's primary, and when the primary's outputs may leave (design 6.3, 6.7).
+// Client requests to a partition's primary, and the release of the primary's outputs (design 6.3, 6.7).
 #include <algorithm>
 
 #include "storage/partition.hpp"
@@ -10,45 +10,46 @@
 
 }  // namespace
 
-// The output rule: nothing above this index may leave (paper 2.2). It needs this node's disk and that of each backup in
-// sync. A lone primary of a partition that keeps messages sends nothing.
+// Returns the last index whose outputs may be sent according to the Output Rule (paper 2.2): the entries up to this
+// index are durable on this node's disk and on the disk of every in-sync backup. A primary without backups sends no
+// outputs if the partition retains messages.
 auto partition::releasable_index() const -> std::int64_t {
-  auto safe_index = log_.synced_index();
+  auto durable_index = log_.synced_index();
   if (assignment_.in_sync_replicas.size() < 2 && keeps_messages())
     return -1;
   auto require_ack = [&](const std::string& member) {
     auto it = replicas_.find(member);
-    safe_index = std::min(safe_index, it == replicas_.end() ? -1 : it->second.acknowledged_index);
+    durable_index = std::min(durable_index, it == replicas_.end() ? -1 : it->second.acknowledged_index);
   };
   for (const auto& member : assignment_.in_sync_replicas)
     if (member != assignment_.primary)
       require_ack(member);
   for (const auto& member : join_.required_acks)
     require_ack(member);
-  return safe_index;
+  return durable_index;
 }
 
-auto partition::release() -> void {
+auto partition::release_outputs() -> void {
   if (role_ != replica_role::primary)
     return;
-  const auto safe_index = releasable_index();
-  while (!pending_outputs_.empty() && pending_outputs_.front().log_index <= safe_index) {
+  const auto durable_index = releasable_index();
+  while (!pending_outputs_.empty() && pending_outputs_.front().log_index <= durable_index) {
     auto pending = std::move(pending_outputs_.front());
     pending_outputs_.pop_front();
     released_index_ = std::max(released_index_, pending.log_index);
-    dispatch(pending);
+    dispatch_output(pending);
   }
 }
 
-auto partition::dispatch(pending_output& pending) -> void {
+auto partition::dispatch_output(pending_output& pending) -> void {
   if (auto* deferred = std::get_if<deferred_reply>(&pending.action)) {
     deferred->reply_to->succeed(std::move(deferred->reply));
     return;
   }
   if (const auto* sent = std::get_if<output>(&pending.action))
     std::visit(
-        [&](const auto& typed) {
-          send_output(pending.log_index, typed);
+        [&](const auto& typed_output) {
+          send_output(pending.log_index, typed_output);
         },
         *sent);
 }
@@ -62,16 +63,16 @@
   waiting_publishes_.erase(it);
 }
 
-// One notification for each gateway. A gateway that takes too little is disconnected; it resumes by position.
+// Sends one notification to each gateway. A gateway that reads too slowly is disconnected; it resumes by position.
 auto partition::send_output(message_position log_index, const message_delivery& delivery) -> void {
   auto by_gateway = std::vector<std::pair<connection_ptr, std::vector<std::string>>>();
   for (const auto& id : delivery.subscription_ids) {
-    auto it = subscriber_at(id, log_index);
+    auto it = find_subscriber(id, log_index);
     if (it == subscribers_.end())
       continue;
     const auto& gateway = it->second.connection;
-    auto group = std::find_if(by_gateway.begin(), by_gateway.end(), [&](auto& one) {
-      return one.first == gateway;
+    auto group = std::find_if(by_gateway.begin(), by_gateway.end(), [&](auto& candidate) {
+      return candidate.first == gateway;
     });
     if (group == by_gateway.end())
       group = by_gateway.insert(by_gateway.end(), {gateway, {}});
@@ -89,7 +90,7 @@
 }
 
 auto partition::send_output(message_position log_index, const subscription_opened& opened) -> void {
-  auto it = subscriber_at(opened.subscription_id, log_index);
+  auto it = find_subscriber(opened.subscription_id, log_index);
   if (it == subscribers_.end())
     return;
   it->second.connection->send(
@@ -97,7 +98,7 @@
 }
 
 auto partition::send_output(message_position log_index, const resume_expired& expired) -> void {
-  auto it = subscriber_at(expired.subscription_id, log_index);
+  auto it = find_subscriber(expired.subscription_id, log_index);
   if (it == subscribers_.end())
     return;
   it->second.connection->send(encode(subscribe_reply{expired.subscription_id, it->second.opening,
@@ -105,9 +106,9 @@
   subscribers_.erase(it);
 }
 
-// Where the outputs of an entry for this subscription go; end: nowhere, since the subscription was opened (again) by a
-// later entry, or its gateway is gone.
-auto partition::subscriber_at(const std::string& subscription_id, message_position log_index)
+// Returns the subscriber that receives this subscription's outputs of the entry at log_index. Returns the end iterator
+// if a later entry opened or reopened the subscription, or if its gateway is disconnected.
+auto partition::find_subscriber(const std::string& subscription_id, message_position log_index)
     -> std::map<std::string, subscriber>::iterator {
   auto it = subscribers_.find(subscription_id);
   if (it == subscribers_.end() || log_index < it->second.first_index)
@@ -120,7 +121,7 @@
           context_.settings.heartbeat_interval / millisecond};
 }
 
-// The order of the checks is part of the interface: a client gets the error of the first that fails.
+// The order of the checks is part of the interface: a client gets the error of the first check that fails.
 auto partition::publish(const publish_request& request, pending_reply_ptr reply) -> void {
   if (role_ != replica_role::primary)
     return reply->fail(not_primary_error());
@@ -128,7 +129,7 @@
     case sequence_status::below:
       return reply->fail({errc::sequence_too_low, "a higher sequence number was accepted already"});
     case sequence_status::repeat:
-      return answer_repeat(request, std::move(reply));
+      return answer_duplicate(request, std::move(reply));
     case sequence_status::fresh:
       break;
   }
@@ -139,14 +140,15 @@
   if (auto refusal = check_admission())
     return reply->fail(*std::move(refusal));
   waiting_publishes_[{request.sender, {request.topic, request.sequence}}].push_back(std::move(reply));
-  log_publish(request);
-  if (awaits_silent_backup())
-    reject_waiting("the second copy does not answer");
+  append_publish(request);
+  if (is_waiting_for_silent_backup())
+    fail_waiting_requests("the second copy does not answer");
 }
 
-// A publish whose sequence number was accepted before is acknowledged once its entry is safe, and not logged again.
-auto partition::answer_repeat(const publish_request& request, pending_reply_ptr reply) -> void {
-  if (awaits_silent_backup())
+// Handles a publish whose sequence number has already been accepted. The publish is acknowledged after its entry is
+// durable on all in-sync replicas, and is not logged again.
+auto partition::answer_duplicate(const publish_request& request, pending_reply_ptr reply) -> void {
+  if (is_waiting_for_silent_backup())
     return reply->fail({errc::unclear, "accepted here, the second copy does not answer: send it again",
                         execution_outcome::unknown, backup_retry_ms()});
   auto waiting = waiting_publishes_.find({request.sender, {request.topic, request.sequence}});
@@ -154,23 +156,23 @@
     waiting->second.push_back(std::move(reply));
     return;
   }
-  if (applied_index_ > releasable_index() && unreplicated())
+  if (applied_index_ > releasable_index() && is_unreplicated())
     return reply->fail(
         {errc::unclear, "accepted here, not yet safe: send it again", execution_outcome::unknown, backup_retry_ms()});
-  reply_when_safe(std::move(reply), publish_reply());
+  reply_when_replicated(std::move(reply), publish_reply());
 }
 
 auto partition::check_can_replicate() const -> std::optional<request_error> {
-  if (handing_over_)
+  if (is_handing_over_)
     return request_error(errc::moving, id + " is changing hands", execution_outcome::not_executed,
                          context_.settings.heartbeat_interval / millisecond);
-  if (unreplicated())
+  if (is_unreplicated())
     return request_error(errc::unreplicated, "a kept space takes nothing until its second copy stands",
                          execution_outcome::not_executed, backup_retry_ms());
   return {};
 }
 
-// The primary stops while the entries that a backup has yet to replay fill the buffer (paper 3.2).
+// Rejects publishes while the entries that a backup has not replayed yet fill the log buffer (paper 3.2).
 auto partition::check_log_buffers() -> std::optional<request_error> {
   const auto& members = assignment_.in_sync_replicas;
   if (std::none_of(members.begin(), members.end(), [&](const auto& member) {
@@ -194,7 +196,7 @@
   return waiting_bytes > buffer_bytes;
 }
 
-// Gradual slowing: while a backup lags only a share of the publishes is let in (design 6.7).
+// Admits only a share of the publishes while a backup lags (design 6.7).
 auto partition::check_admission() -> std::optional<request_error> {
   if (admission_.try_admit(host_.now()))
     return {};
@@ -202,27 +204,28 @@
                        context_.settings.heartbeat_interval / millisecond);
 }
 
-auto partition::log_publish(const publish_request& request) -> void {
+auto partition::append_publish(const publish_request& request) -> void {
   auto entries = clock_entry();
   entries.emplace_back(publish_entry{request.topic, request.sender, request.sequence, request.body,
                                      host_.wall_clock_ms(), request.retention_ms});
   append_operation(std::move(entries));
 }
 
-// By then a new backup is mostly in sync.
+// Two heartbeat intervals are usually long enough for a new backup to be in sync.
 auto partition::backup_retry_ms() const -> std::int64_t {
   return context_.settings.heartbeat_interval * 2 / millisecond;
 }
 
-// Sends a reply once all that was applied up to now is safe (design 6.3).
-auto partition::reply_when_safe(pending_reply_ptr reply_to, client_reply reply) -> void {
+// Sends the reply after all entries applied so far are durable on all in-sync replicas (design 6.3).
+auto partition::reply_when_replicated(pending_reply_ptr reply_to, client_reply reply) -> void {
   pending_outputs_.push_back({applied_index_, deferred_reply{std::move(reply_to), std::move(reply)}});
-  release();
+  release_outputs();
 }
 
-// An output waits for a backup that has been silent for three heartbeats, in each of which it acknowledges at least
-// once: nobody is kept waiting for what may not come. The entries stay; a repeat is acknowledged once they are safe.
-auto partition::awaits_silent_backup() const -> bool {
+// Whether an output waits for a backup that has been silent for three heartbeat intervals. A live backup acknowledges
+// at least once per heartbeat interval. Waiting clients then get an error instead of a long wait. The entries stay in
+// the log, and a retried publish is acknowledged after they are durable on all in-sync replicas.
+auto partition::is_waiting_for_silent_backup() const -> bool {
   if (!keeps_messages() || releasable_index() >= last_index())
     return false;
   const auto& members = assignment_.in_sync_replicas;
@@ -233,19 +236,19 @@
   });
 }
 
-auto partition::unreplicated() const -> bool {
+auto partition::is_unreplicated() const -> bool {
   if (!keeps_messages())
     return false;
   const auto& members = assignment_.in_sync_replicas;
   return std::none_of(members.begin(), members.end(), [&](const auto& member) {
-    return member != assignment_.primary && in_touch(member);
+    return member != assignment_.primary && is_responsive(member);
   });
 }
 
 auto partition::subscribe(const subscribe_request& request, const connection_ptr& gateway) -> void {
   const auto& subscription_id = request.subscription_id;
   const auto opening = request.opening;
-  if (role_ != replica_role::primary || handing_over_) {
+  if (role_ != replica_role::primary || is_handing_over_) {
     gateway->send(encode(subscribe_reply{subscription_id, opening, subscribe_result::not_here, 0}));
     return;
   }
@@ -256,70 +259,72 @@
   if (is_outdated(request, gateway))
     return;
   subscribers_[subscription_id] = {gateway, last_index() + 1, opening};
-  disconnected_.erase(subscription_id);
+  disconnected_since_.erase(subscription_id);
   append_operation({subscribe_entry{subscription_id, request.topic, request.subscriber, request.after}});
 }
 
-// Asked again over the same connection while the reply waits for its entry to be safe: that reply comes. To log the
-// request anew would put the reply off each time, for ever on slow disks. And a request of an earlier opening may come
-// late, over a connection that was given up since. A gateway of the first release counts no openings: each of its
-// requests is a new one.
+// A gateway may retry a subscribe request on the same connection while the reply waits for its entry to become durable.
+// The retry is ignored, because the reply is still sent. Logging the retry would delay the reply each time, without end
+// on slow disks. A request of an earlier opening is also outdated: it was delayed on an abandoned connection. A gateway
+// of the first release sends no opening number, so each of its requests counts as new.
 auto partition::is_outdated(const subscribe_request& request, const connection_ptr& gateway) const -> bool {
   auto it = subscribers_.find(request.subscription_id);
   if (request.opening <= 0 || it == subscribers_.end())
     return false;
-  const auto& known = it->second;
-  return known.opening > request.opening || (known.connection == gateway && known.opening == request.opening);
+  const auto& current = it->second;
+  return current.opening > request.opening || (current.connection == gateway && current.opening == request.opening);
 }
 
 auto partition::finish(const finish_request& request) -> void {
   const auto& subscription_id = request.subscription_id;
   subscribers_.erase(subscription_id);
-  disconnected_.erase(subscription_id);
-  const auto leads = role_ == replica_role::primary && !handing_over_;
-  if (leads && state_.subscriptions.count(subscription_id))
+  disconnected_since_.erase(subscription_id);
+  const auto can_append = role_ == replica_role::primary && !is_handing_over_;
+  if (can_append && state_.subscriptions.count(subscription_id))
     append_operation({close_entry{subscription_id}});
 }
 
 auto partition::read(const read_request& request, pending_reply_ptr reply) -> void {
   if (role_ != replica_role::primary)
     return reply->fail(not_primary_error());
-  auto found = read_reply();
-  found.position = applied_index_;
+  auto result = read_reply();
+  result.position = applied_index_;
   if (auto it = state_.topics.find(request.topic); it != state_.topics.end()) {
     const auto& topic = it->second;
-    found.expired = request.after < topic.expired_position;
-    for (const auto& kept : topic.messages) {
-      if (found.rows.size() >= max_read_rows)
+    result.expired = request.after < topic.expired_position;
+    for (const auto& stored : topic.messages) {
+      if (result.rows.size() >= max_read_rows)
         break;
-      if (kept.position <= request.after)
+      if (stored.position <= request.after)
         continue;
-      found.rows.push_back({kept.position, kept.sender, kept.sequence, kept.body, kept.wall_clock_ms});
+      result.rows.push_back({stored.position, stored.sender, stored.sequence, stored.body, stored.wall_clock_ms});
     }
   }
-  reply_when_safe(std::move(reply), std::move(found));
+  reply_when_replicated(std::move(reply), std::move(result));
 }
 
-// Subscribers are counted from the replicated state, each client once, also where an old connection of it lingers. One
-// whose gateway's connection ended counts for as long as it may take to open another.
+// Counts the subscribers of a topic in the replicated state. Each client counts once, even if it still has an old
+// connection. A subscriber whose gateway is disconnected counts until the failure timeout has passed, because the
+// gateway may reconnect.
 auto partition::count(const count_request& request, pending_reply_ptr reply) -> void {
   if (role_ != replica_role::primary)
     return reply->fail(not_primary_error());
   auto clients = std::set<std::string_view>();
   if (auto it = state_.topics.find(request.topic); it != state_.topics.end()) {
     for (const auto& subscription_id : it->second.subscriptions) {
-      auto lost = disconnected_.find(subscription_id);
-      if (lost == disconnected_.end() || host_.now() - lost->second < context_.settings.failure_timeout)
+      auto disconnected = disconnected_since_.find(subscription_id);
+      if (disconnected == disconnected_since_.end() ||
+          host_.now() - disconnected->second < context_.settings.failure_timeout)
         clients.insert(state_.subscriptions.at(subscription_id).subscriber);
     }
   }
-  reply_when_safe(std::move(reply), count_reply{clients.size()});
+  reply_when_replicated(std::move(reply), count_reply{clients.size()});
 }
 
 auto partition::on_gateway_disconnected(const connection_ptr& gateway) -> void {
   for (auto it = subscribers_.begin(); it != subscribers_.end();) {
     if (it->second.connection == gateway) {
-      disconnected_[it->first] = host_.now();
+      disconnected_since_[it->first] = host_.now();
       it = subscribers_.erase(it);
     } else {
       ++it;
--- a/src/storage/replica_progress.hpp
+++ b/src/storage/replica_progress.hpp
@@ -1,4 +1,5 @@
-// What a replica of a partition knows of the others: a primary of those it feeds, a backup of its primary (design 6.2).
+// Replication state that a replica keeps about other replicas: a primary about each replica that it replicates to, and
+// a backup about its primary (design 6.2).
 #pragma once
 #include <cstdint>
 #include <set>
@@ -9,41 +10,41 @@
 
 namespace reachridge {
 
-// What a primary knows of one replica that it feeds: a backup, or one that joins.
+// The progress of one replica that a primary replicates to. The replica is a backup or is joining the in-sync set.
 struct replica_progress {
   entry_index next_index = 0;  // the next entry to send
   entry_index acknowledged_index = -1;
   entry_index applied_index = -1;
-  entry_index lacked_at_join = -1;  // the log's end when it joined: bringing it up to there is not lag
+  entry_index last_index_at_join = -1;  // the end of the primary's log at the join; earlier entries do not count as lag
   monotonic_time last_contact = 0;
-  monotonic_time feeding_since = 0;
+  monotonic_time replicating_since = 0;
   bool joined = false;
-  bool rejected = false;         // it refused entries: it has to join again
-  bool process_gone = false;     // its process is known to be dead
-  std::int64_t copies = 0;       // of the whole state that were sent to it
-  std::int64_t feed_number = 0;  // of the task that feeds it; an earlier one ends
+  bool rejected = false;                // the replica rejected entries and has to join again
+  bool process_gone = false;            // the replica's process is known to have terminated
+  std::int64_t copies = 0;              // the number of complete state copies sent to the replica
+  std::int64_t replication_number = 0;  // of the current replication task; a task with a lower number ends
 };
 
-// A replica that is being made a member of the in-sync set (design 6.6).
+// The progress of a replica that joins the in-sync set (design 6.6).
 struct join_progress {
-  std::string member;  // empty: none joins
+  std::string member;  // the joining member; empty: no member
   monotonic_time since = 0;
-  // Members whose acknowledgements outputs wait for besides those of the backups: while it is proposed to make one a
-  // backup, and until it is known what came of it.
+  // Outputs wait for the acknowledgements of these members in addition to those of the backups. A joining member is
+  // listed from the time it has nearly caught up until the result of the proposal to add it is known.
   std::set<std::string> required_acks;
-  partition_epoch unsettled_epoch = -1;  // a proposal on this epoch got no answer: it may still be committed
-  std::set<std::string> excluded;        // members not to be chosen
-  monotonic_time next_choice_at = 0;     // after a choice in vain, where a backup is left
+  partition_epoch unresolved_epoch = -1;   // a proposal based on this epoch got no answer and may still be committed
+  std::set<std::string> excluded_members;  // members that are not chosen as a new backup
+  monotonic_time next_choice_at = 0;       // when to choose again after a failed choice, if a healthy backup remains
 };
 
-// The primary that a backup takes its log from.
+// The primary whose log a backup follows.
 struct followed_primary {
   std::string member;
-  partition_epoch epoch = 0;  // nothing of an older one is taken
-  connection_ptr connection;  // over which its last entries came; null: closed since
-  join_id answered_join = 0;
-  std::string partial_state;  // the chunks so far of a copy of its state
-  bool process_gone = false;  // its process is known to be dead
+  partition_epoch epoch = 0;  // messages of a lower epoch are rejected
+  connection_ptr connection;  // the connection that delivered the last entries; null: it was closed
+  join_id last_answered_join = 0;
+  std::string partial_state;  // the chunks received so far of a state copy
+  bool process_gone = false;  // the primary's process is known to have terminated
 };
 
 }  // namespace reachridge
--- a/src/storage/storage_node.cpp
+++ b/src/storage/storage_node.cpp
@@ -114,7 +114,7 @@
   reachridge::log(log_level::info, settings_.name, "leaving: partitions are handed over");
   auto leads_any = [this] {
     return std::any_of(partitions_.begin(), partitions_.end(), [](const auto& held) {
-      return held.second->live();
+      return held.second->is_primary();
     });
   };
   while (host_.now() < limit && leads_any())
--- a/src/storage/storage_node_partitions.cpp
+++ b/src/storage/storage_node_partitions.cpp
@@ -48,7 +48,7 @@
       open_partition(id);
   for (auto& [id, held] : partitions_)
     if (auto it = assignments.find(id); it != assignments.end())
-      held->apply_row(it->second);
+      held->apply_assignment(it->second);
 }
 
 // Those whose replicas are all on other nodes.
@@ -94,7 +94,7 @@
 auto storage_node::served_version() const -> std::int64_t {
   auto oldest = session.view.configuration ? session.view.configuration->number : 0;
   for (const auto& [id, held] : partitions_)
-    if (held->live())
+    if (held->is_primary())
       oldest = std::min(oldest, held->configuration_number());
   return oldest;
 }
--- a/tools/simulator/fleet_test.cpp
+++ b/tools/simulator/fleet_test.cpp
@@ -502,7 +502,7 @@
         if (c.session.is_synchronized())
           fresh.emplace(n, f.network.clock);
         for (const auto& [id, row] : c.session.view.partitions)
-          if (const auto* one = c.partition_at(id); one && one->live() && node_of_member(row.primary) == n)
+          if (const auto* one = c.partition_at(id); one && one->is_primary() && node_of_member(row.primary) == n)
             lives.emplace(n + " " + id, f.network.clock);
       }
     }
@@ -713,7 +713,7 @@
     auto end = f.network.clock + 8 * second;
     auto said = std::int64_t{0};
     while (f.backup_of(id) != late && f.network.clock < end) {
-      if (const auto* c = f.processes.at(prim)->storage->partition_at(id); c && c->live())
+      if (const auto* c = f.processes.at(prim)->storage->partition_at(id); c && c->is_primary())
         said = get_int(c->status(), "spoken");
       f.network.run(f.network.clock + millisecond);
     }
