--- a/src/storage/partition.cpp
+++ b/src/storage/partition.cpp
@@ -18,9 +18,10 @@
     try {
       std::rethrow_exception(error);
     } catch (const std::exception& e) {
-      reachridge::log(log_level::error, context_.settings.name, id + ": task ended: " + e.what());
-      dump_log("a task of a partition ended");
-      step_down("a task of it ended");
+      reachridge::log(log_level::error, context_.settings.name,
+                      id + ": a task of the partition ended with an error: " + e.what());
+      dump_log("a task of a partition ended with an error");
+      step_down("a task of the partition ended with an error");
       is_damaged_ = true;
     }
   };
@@ -29,8 +30,9 @@
     load();
   } catch (const std::exception& e) {
     // A replica never serves torn or altered records. The primary sends a new copy of the state (design 6.8).
-    reachridge::log(log_level::error, context_.settings.name, id + ": own copy is damaged: " + e.what());
-    dump_log("a damaged copy of " + id);
+    reachridge::log(log_level::error, context_.settings.name,
+                    id + ": the replica on this disk is damaged: " + e.what());
+    dump_log("damaged replica of partition " + id);
     wipe();
     is_damaged_ = true;
   }
@@ -49,7 +51,7 @@
   log_.load_entries(host_.now());
   applied_index_ = log_.base_index();
   if (last_index() > 0)
-    log_info("own copy holds entries " + std::to_string(log_.base_index() + 1) + " to " + std::to_string(last_index()));
+    log_info("loaded entries " + std::to_string(log_.base_index() + 1) + " to " + std::to_string(last_index()));
 }
 
 auto partition::wipe() -> void {
@@ -156,8 +158,8 @@
 // damaged in the meantime (design 6.8).
 auto partition::wait_for_disk_recovery(const std::string& fault) -> task<void> {
   auto was_damaged = std::exchange(is_damaged_, true);
-  step_down("disk: " + fault);
-  dump_log("the disk of " + context_.settings.name + " fails");
+  step_down("the disk failed: " + fault);
+  dump_log("the disk of " + context_.settings.name + " failed");
   while (disk_.failed())
     co_await sleep_for(host_, context_.settings.heartbeat_interval);
   if (!was_damaged)
--- a/src/storage/partition_backup.cpp
+++ b/src/storage/partition_backup.cpp
@@ -56,12 +56,13 @@
 auto partition::on_join(replica_join_request request) -> task<replica_join_reply> {
   auto running = running_call_guard(running_calls_);
   if (request.epoch < assignment_.epoch || request.epoch < followed_.epoch)
-    throw request_error(errc::old_epoch, id + " has moved on", execution_outcome::not_executed, -1,
-                        assignment_.to_value());
+    throw request_error(errc::old_epoch, id + ": the epoch of the join request is lower than the known epoch",
+                        execution_outcome::not_executed, -1, assignment_.to_value());
   if (role_ == replica_role::primary) {
     if (request.epoch == assignment_.epoch)
-      throw request_error(errc::old_epoch, "two primaries at one epoch", execution_outcome::not_executed);
-    step_down("a newer primary joins");
+      throw request_error(errc::old_epoch, "this node is the primary at the epoch of the join request",
+                          execution_outcome::not_executed);
+    step_down("a primary of a newer epoch sent a join request");
   }
   followed_.member = request.primary;
   followed_.epoch = request.epoch;
@@ -84,11 +85,11 @@
 auto partition::on_state_chunk(state_chunk chunk) -> task<void> {
   auto running = running_call_guard(running_calls_);
   if (!follows(chunk.primary, chunk.epoch))
-    throw request_error(errc::old_epoch, "another primary is followed");
+    throw request_error(errc::old_epoch, "the state copy is not from the primary that this backup follows");
   // A delayed chunk of an earlier join can arrive on an abandoned connection. Installing its state would undo
   // acknowledged entries.
   if (chunk.join != followed_.last_answered_join)
-    throw request_error(errc::old_epoch, "another join came after this copy was begun");
+    throw request_error(errc::old_epoch, "the state copy belongs to an earlier join request");
   last_contact_ = host_.now();
   if (chunk.part == 0)
     followed_.partial_state.clear();
@@ -100,7 +101,7 @@
   auto epoch = followed_.epoch;
   co_await disk_.sync();
   if (followed_.epoch != epoch || role_ != replica_role::backup)
-    throw request_error(errc::old_epoch, "another primary is followed");
+    throw request_error(errc::old_epoch, "the followed primary changed while the state copy was synced");
   is_damaged_ = false;
   log_.mark_synced(log_.base_index());  // entries appended during the sync wait for the next sync
 }
--- a/src/storage/partition_leadership.cpp
+++ b/src/storage/partition_leadership.cpp
@@ -46,9 +46,9 @@
   assignment_ = committed;
   followed_.process_gone = false;
   if (role_ == replica_role::primary && !is_primary_here)
-    step_down("epoch " + std::to_string(committed.epoch) + " is led by " + committed.primary);
+    step_down("the primary of epoch " + std::to_string(committed.epoch) + " is " + committed.primary);
   if (role_ == replica_role::primary && is_primary_here) {
-    log_info("own proposal found committed");
+    log_info("found its own proposal committed in the replicated log");
     check_wakeup_.wake();
     return;
   }
@@ -67,9 +67,9 @@
     recreate();
   log_.drop_unfinished_operation();
   if (applied_index_ < last_index())
-    throw std::logic_error(id + " would go live with entries not replayed");
+    throw std::logic_error(id + " cannot go live: the log has entries that are not replayed");
   begin_leadership();
-  log_info("live at epoch " + std::to_string(assignment_.epoch) + ", entry " + std::to_string(last_index()));
+  log_info("went live at epoch " + std::to_string(assignment_.epoch) + ", entry " + std::to_string(last_index()));
   auto entries = std::vector<log_entry>{go_live_entry{assignment_.epoch, own_member()}};
   if (auto configuration = configuration_entry())
     entries.push_back(*configuration);
@@ -126,10 +126,10 @@
 auto partition::step_down(const std::string& reason) -> void {
   if (role_ != replica_role::primary)
     return;
-  reachridge::log(log_level::warning, context_.settings.name, id + ": halts: " + reason);
+  reachridge::log(log_level::warning, context_.settings.name, id + ": steps down: " + reason);
   role_ = replica_role::idle;
   ++leadership_number_;
-  fail_waiting_requests("the cell is led elsewhere now");
+  fail_waiting_requests("this node is no longer the primary of the partition");
   pending_outputs_.clear();
   replicas_.clear();
   join_.required_acks.clear();
@@ -162,7 +162,7 @@
     if (is_accepted && assignment_.primary == own_member())
       co_await take_over(former_primary, reason);
   } catch (const request_error& error) {
-    log_info(std::string("claim waits: ") + error.what());
+    log_info(std::string("claim failed and will be retried: ") + error.what());
   }
 }
 
@@ -190,7 +190,7 @@
   if (role_ == replica_role::primary || assignment_.epoch != claimed)
     co_return;
   go_live();
-  log_info("replayed for " + std::to_string((host_.now() - started_at) / millisecond) + " ms before it went live");
+  log_info("replayed for " + std::to_string((host_.now() - started_at) / millisecond) + " ms before going live");
   check_immediately_ = true;  // chooses a new backup immediately
   if (former_primary != own_member()) {
     join_.excluded_members.insert(former_primary);  // a silent member must not be chosen as the new backup
@@ -198,7 +198,7 @@
     if (auto it = replicas_.find(former_primary); it != replicas_.end())
       it->second.last_contact = expired_contact_time();
   }
-  dump_log(id + " taken over: " + reason);
+  dump_log(id + " was taken over: " + reason);
 }
 
 // Waits until the replay task has applied all entries up to the last go-live point. Announces the replay to the other
@@ -271,13 +271,13 @@
   if (assignment_.primary == own_member()) {
     // An assigned primary that is not live claims a new epoch, also after a restart: it may have lost entries that it
     // had not acknowledged.
-    co_await claim(assignment_.epoch == 1 ? "first start" : "its primary is back");
+    co_await claim(assignment_.epoch == 1 ? "the partition starts for the first time" : "the assigned primary resumes");
   } else if (!assignment_.is_in_sync(own_member())) {
     co_return;
   } else if (is_disk_lost(context_.session.view, assignment_.primary)) {
-    co_await claim("its primary's disk is lost");
+    co_await claim("the primary's disk is lost");
   } else if (followed_.process_gone || is_primary_silent(claim_delay)) {
-    co_await claim(followed_.process_gone ? "its primary's process is gone" : "its primary is silent");
+    co_await claim(followed_.process_gone ? "the primary's process has terminated" : "the primary is silent");
     claim_delay = host_.jittered(context_.settings.heartbeat_interval);
   }
 }
--- a/src/storage/partition_log.cpp
+++ b/src/storage/partition_log.cpp
@@ -1,3 +1,5 @@
+// Records of a partition on the disk: its snapshot has the key "C/ID/s", each log entry the key "C/ID/e/INDEX" with the
+// index as 16 hex digits. Every record carries a checksum.
 #include "storage/partition_log.hpp"
 
 #include <algorithm>
@@ -48,7 +50,7 @@
     return {};
   auto stored = decode_with_checksum(*record);
   if (get_int(stored, "format") != snapshot_format)
-    throw decode_error("format is not 1");
+    throw decode_error("partition snapshot: format is not 1");
   auto snapshot = decode_partition_snapshot(stored);
   base_index_ = snapshot.index;
   base_epoch_ = snapshot.epoch;
@@ -63,7 +65,7 @@
     if (index <= base_index_)
       return;  // the snapshot contains this entry: a crash prevented its erasure
     if (index != ++expected)
-      throw decode_error("entry " + std::to_string(expected) + " is missing");
+      throw decode_error("log entry " + std::to_string(expected) + " is missing");
     auto stored = decode_replicated_entry(decode_with_checksum(record));
     entries_.push_back({stored.epoch, stored.go_live_point, std::move(stored.payload), now});
   });
--- a/src/storage/partition_replicas.cpp
+++ b/src/storage/partition_replicas.cpp
@@ -169,19 +169,19 @@
   });
   auto is_replication_stalled = (!lost.empty() && !has_responsive_backup) || is_waiting_for_silent_backup();
   if (is_replication_stalled && !waiting_publishes_.empty())
-    fail_waiting_requests("the second copy is out of reach");
+    fail_waiting_requests("a required backup does not respond");
   if (lost.empty() || (keeps_messages() && !has_responsive_backup))
     co_return;
   auto next = assignment_;
   std::erase_if(next.in_sync_replicas, [&](const auto& member) {
     return lost.count(member) > 0;
   });
-  auto is_accepted = co_await propose(next, "a backup is silent");
+  auto is_accepted = co_await propose(next, "a backup is silent or has lost its disk");
   if (!is_accepted || role_ != replica_role::primary)
     co_return;
   for (const auto& member : lost) {
     replicas_.erase(member);
-    log_info("goes on without " + member);
+    log_info("removed the lost backup " + member);
   }
   release_outputs();
 }
@@ -270,7 +270,7 @@
   join_.member.clear();
   join_.excluded_members.clear();
   admission_.reset_share();
-  log_info(member + " is in sync now");
+  log_info(member + " joined the in-sync set");
   check_immediately_ =
       assignment_.in_sync_replicas.size() < target_replica_count();  // chooses the next replica immediately
   release_outputs();
@@ -304,10 +304,10 @@
 }
 
 auto partition::abandon_join() -> task<void> {
-  log_info("gives up on " + join_.member);
+  log_info("abandons the join of " + join_.member);
   // Raises the epoch, so that an earlier proposal without a reply can no longer be committed.
   if (join_.unresolved_epoch == assignment_.epoch) {
-    auto is_accepted = co_await propose(assignment_, "settles a move without an answer");
+    auto is_accepted = co_await propose(assignment_, "raises the epoch after a proposal without a reply");
     if (!is_accepted || role_ != replica_role::primary)
       co_return;
     join_.required_acks.clear();
--- a/src/storage/partition_replication.cpp
+++ b/src/storage/partition_replication.cpp
@@ -79,7 +79,7 @@
       only_epoch_changed = co_await replicate_over(run, connection);
     } catch (const request_error& error) {
       if (is_current_run(run) && reports_newer_epoch(error, assignment_.epoch))
-        step_down("its replica follows a newer epoch");
+        step_down("a replica follows a primary of a newer epoch");
     }
     if (!is_current_run(run))
       break;
@@ -112,15 +112,15 @@
     co_return false;
   auto join_reply = decode_replica_join_reply(answer);
   if (can_continue_own_log(join_reply)) {
-    log_info(run.member + " joins with its own log up to " + std::to_string(join_reply.last_index) + ", synced up to " +
-             std::to_string(join_reply.synced_index));
+    log_info(run.member + " joins with its own log up to entry " + std::to_string(join_reply.last_index) +
+             ", synced up to entry " + std::to_string(join_reply.synced_index));
   } else {
     auto copied_index = co_await copy_state(run, connection, join);
     if (!copied_index)
       co_return false;
     join_reply.last_index = join_reply.applied_index = join_reply.synced_index = *copied_index;
     ++replicas_[run.member].copies;
-    log_info("copied to " + run.member + " at " + std::to_string(*copied_index));
+    log_info("copied the state to " + run.member + " at entry " + std::to_string(*copied_index));
   }
   begin_streaming(replicas_[run.member], join_reply);
   co_return true;
--- a/src/storage/partition_requests.cpp
+++ b/src/storage/partition_requests.cpp
@@ -46,12 +46,12 @@
     deferred->reply_to->succeed(std::move(deferred->reply));
     return;
   }
-  if (const auto* sent = std::get_if<output>(&pending.action))
+  if (const auto* ready_output = std::get_if<output>(&pending.action))
     std::visit(
         [&](const auto& typed_output) {
           send_output(pending.log_index, typed_output);
         },
-        *sent);
+        *ready_output);
 }
 
 auto partition::send_output(message_position /*log_index*/, const publish_accepted& accepted) -> void {
@@ -117,7 +117,7 @@
 }
 
 auto partition::not_primary_error() const -> request_error {
-  return {errc::not_primary, id + " is not led here", execution_outcome::not_executed,
+  return {errc::not_primary, id + ": this node is not the primary", execution_outcome::not_executed,
           context_.settings.heartbeat_interval / millisecond};
 }
 
@@ -127,7 +127,7 @@
     return reply->fail(not_primary_error());
   switch (state_.check_sequence(request.sender, request.topic, request.sequence)) {
     case sequence_status::below:
-      return reply->fail({errc::sequence_too_low, "a higher sequence number was accepted already"});
+      return reply->fail({errc::sequence_too_low, "a higher sequence number has already been accepted"});
     case sequence_status::repeat:
       return answer_duplicate(request, std::move(reply));
     case sequence_status::fresh:
@@ -142,14 +142,14 @@
   waiting_publishes_[{request.sender, {request.topic, request.sequence}}].push_back(std::move(reply));
   append_publish(request);
   if (is_waiting_for_silent_backup())
-    fail_waiting_requests("the second copy does not answer");
+    fail_waiting_requests("a backup does not acknowledge");
 }
 
 // Handles a publish whose sequence number has already been accepted. The publish is acknowledged after its entry is
 // durable on all in-sync replicas, and is not logged again.
 auto partition::answer_duplicate(const publish_request& request, pending_reply_ptr reply) -> void {
   if (is_waiting_for_silent_backup())
-    return reply->fail({errc::unclear, "accepted here, the second copy does not answer: send it again",
+    return reply->fail({errc::unclear, "accepted, but a backup does not acknowledge: retry the publish",
                         execution_outcome::unknown, backup_retry_ms()});
   auto waiting = waiting_publishes_.find({request.sender, {request.topic, request.sequence}});
   if (waiting != waiting_publishes_.end()) {
@@ -157,17 +157,18 @@
     return;
   }
   if (applied_index_ > releasable_index() && is_unreplicated())
-    return reply->fail(
-        {errc::unclear, "accepted here, not yet safe: send it again", execution_outcome::unknown, backup_retry_ms()});
+    return reply->fail({errc::unclear, "accepted, but not replicated yet: retry the publish",
+                        execution_outcome::unknown, backup_retry_ms()});
   reply_when_replicated(std::move(reply), publish_reply());
 }
 
 auto partition::check_can_replicate() const -> std::optional<request_error> {
   if (is_handing_over_)
-    return request_error(errc::moving, id + " is changing hands", execution_outcome::not_executed,
+    return request_error(errc::moving, id + " is being handed over to another node", execution_outcome::not_executed,
                          context_.settings.heartbeat_interval / millisecond);
   if (is_unreplicated())
-    return request_error(errc::unreplicated, "a kept space takes nothing until its second copy stands",
+    return request_error(errc::unreplicated,
+                         "a space that retains messages needs a responsive backup to accept a publish",
                          execution_outcome::not_executed, backup_retry_ms());
   return {};
 }
@@ -180,7 +181,7 @@
       }))
     return {};
   admission_.count_stop();
-  return request_error(errc::log_full, "the log buffer is full", execution_outcome::not_executed,
+  return request_error(errc::log_full, "the log buffer for a backup is full", execution_outcome::not_executed,
                        context_.settings.lag_limit / millisecond);
 }
 
@@ -200,7 +201,7 @@
 auto partition::check_admission() -> std::optional<request_error> {
   if (admission_.try_admit(host_.now()))
     return {};
-  return request_error(errc::throttled, "the backup lags; admission is slowed", execution_outcome::not_executed,
+  return request_error(errc::throttled, "a backup lags and admission is throttled", execution_outcome::not_executed,
                        context_.settings.heartbeat_interval / millisecond);
 }
 
