--- a/src/storage/admission_control.cpp
+++ b/src/storage/admission_control.cpp
@@ -24,11 +24,12 @@
   smoothed_lag_ = 0;
 }
 
-auto admission_control::adjust(monotonic_time lag, monotonic_time limit, bool may_slow, monotonic_time now) -> void {
+auto admission_control::adjust(monotonic_time lag, monotonic_time limit, bool may_throttle, monotonic_time now)
+    -> void {
   // Lag that falls already is let fall: the backlog drains at the share found.
   auto rising = lag >= smoothed_lag_;
   smoothed_lag_ = (smoothed_lag_ + lag) / 2;
-  if (may_slow && lag > limit && rising) {
+  if (may_throttle && lag > limit && rising) {
     if (share_ >= 1)
       refill_tokens(now);
     share_ = std::max(min_share, share_ - share_step);
--- a/src/storage/admission_control.hpp
+++ b/src/storage/admission_control.hpp
@@ -19,11 +19,11 @@
   auto reset_share() -> void;
   // Once a round, with the largest lag of the backups in touch. Above `limit`
   // it slows, if `may_slow`.
-  auto adjust(monotonic_time lag, monotonic_time limit, bool may_slow, monotonic_time now) -> void;
+  auto adjust(monotonic_time lag, monotonic_time limit, bool may_throttle, monotonic_time now) -> void;
   // Whether one more publish may be taken now; counts it, admitted or slowed.
   [[nodiscard]] auto try_admit(monotonic_time now) -> bool;
   // A publish was refused because the log buffer towards a backup is full.
-  auto count_stop() -> void {
+  auto count_buffer_full_refusal() -> void {
     ++stops_;
   }
 
@@ -36,7 +36,7 @@
   [[nodiscard]] auto slowed() const -> std::int64_t {
     return slowed_;
   }
-  [[nodiscard]] auto stops() const -> std::int64_t {
+  [[nodiscard]] auto buffer_full_refusals() const -> std::int64_t {
     return stops_;
   }
 
--- a/src/storage/client_requests.hpp
+++ b/src/storage/client_requests.hpp
@@ -36,7 +36,7 @@
 };
 
 // Ends a subscription.
-struct finish_request {
+struct close_subscription_request {
   std::string subscription_id;
 };
 
@@ -77,9 +77,9 @@
 // Why a subscription is open or not.
 enum class subscribe_result {
   ok,
-  expired,      // messages that it lacks have expired; `position` is the highest of these
-  not_here,     // this node does not lead the partition
-  ahead_of_log  // it claims to have a position that was never given out
+  expired,       // messages that it lacks have expired; `position` is the highest of these
+  not_led_here,  // this node does not lead the partition
+  ahead_of_log   // it claims to have a position that was never given out
 };
 
 // Answers a subscribe request.
@@ -126,7 +126,7 @@
 auto partition_of_request(const value& request) -> std::string;
 auto decode_publish_request(const value& request) -> publish_request;
 auto decode_subscribe_request(const value& request) -> subscribe_request;
-auto decode_finish_request(const value& request) -> finish_request;
+auto decode_close_subscription_request(const value& request) -> close_subscription_request;
 auto decode_read_request(const value& request) -> read_request;
 auto decode_count_request(const value& request) -> count_request;
 
--- a/src/storage/client_requests_codec.cpp
+++ b/src/storage/client_requests_codec.cpp
@@ -55,7 +55,7 @@
       return "ok";
     case subscribe_result::expired:
       return "gone";
-    case subscribe_result::not_here:
+    case subscribe_result::not_led_here:
       return "not_here";
     case subscribe_result::ahead_of_log:
       return "ahead";
@@ -97,7 +97,7 @@
   return out;
 }
 
-auto decode_finish_request(const value& request) -> finish_request {
+auto decode_close_subscription_request(const value& request) -> close_subscription_request {
   return {get_string(request, "i")};
 }
 
--- a/src/storage/client_requests_test.cpp
+++ b/src/storage/client_requests_test.cpp
@@ -67,7 +67,7 @@
   check_text(R"({"op":"subbed","i":"s","n":3,"ok":false,"pos":7,"code":"gone"})",
              encode(subscribe_reply{"s", 3, subscribe_result::expired, 7}));
   check_text(R"({"op":"subbed","i":"s","n":3,"ok":false,"code":"not_here","pos":0})",
-             encode(subscribe_reply{"s", 3, subscribe_result::not_here, 0}));
+             encode(subscribe_reply{"s", 3, subscribe_result::not_led_here, 0}));
   check_text(R"({"op":"subbed","i":"s","n":3,"ok":false,"code":"ahead","pos":7})",
              encode(subscribe_reply{"s", 3, subscribe_result::ahead_of_log, 7}));
   check_text(R"({"op":"got","i":["s","r"],"t":"a/x","pos":7,"d":"c","s":5,"b":"hello","w":17})",
--- a/src/storage/log_entry.hpp
+++ b/src/storage/log_entry.hpp
@@ -44,7 +44,7 @@
 };
 
 // A subscription ends.
-struct close_entry {
+struct close_subscription_entry {
   std::string subscription_id;
 };
 
@@ -66,8 +66,8 @@
   value payload;
 };
 
-using log_entry = std::variant<clock_advance, publish_entry, subscribe_entry, close_entry, configuration_change,
-                               go_live_entry, unrecognized_entry>;
+using log_entry = std::variant<clock_advance, publish_entry, subscribe_entry, close_subscription_entry,
+                               configuration_change, go_live_entry, unrecognized_entry>;
 
 auto encode(const log_entry& entry) -> value;
 auto decode_log_entry(const value& payload) -> log_entry;  // throws decode_error
@@ -76,6 +76,6 @@
 auto is_clock_advance(const value& payload) -> bool;
 
 // About how many bytes an encoded entry takes of a buffer or a frame.
-auto entry_bytes(const value& payload) -> std::size_t;
+auto estimate_entry_bytes(const value& payload) -> std::size_t;
 
 }  // namespace reachridge
--- a/src/storage/log_entry_codec.cpp
+++ b/src/storage/log_entry_codec.cpp
@@ -30,7 +30,7 @@
                 {"d", entry.subscriber},
                 {"a", entry.after}};
 }
-auto encode_fields(const close_entry& entry) -> value {
+auto encode_fields(const close_subscription_entry& entry) -> value {
   return object{{kind_field, close_kind}, {"i", entry.subscription_id}};
 }
 auto encode_fields(const configuration_change& entry) -> value {
@@ -96,7 +96,7 @@
   if (kind == subscribe_kind)
     return decode_subscribe(payload);
   if (kind == close_kind)
-    return close_entry{get_string(payload, "i")};
+    return close_subscription_entry{get_string(payload, "i")};
   if (kind == configuration_kind)
     return decode_configuration(payload);
   if (kind == go_live_kind)
@@ -108,7 +108,7 @@
   return get_string(payload, kind_field) == clock_kind;
 }
 
-auto entry_bytes(const value& payload) -> std::size_t {
+auto estimate_entry_bytes(const value& payload) -> std::size_t {
   constexpr auto fixed_bytes = std::size_t{64};
   const auto& body = get_value(payload, "b");
   return fixed_bytes + (body.is_string() ? body.get_string().size() : 0);
--- a/src/storage/log_entry_test.cpp
+++ b/src/storage/log_entry_test.cpp
@@ -36,7 +36,7 @@
   check_format(R"({"k":"p","t":"a/x","d":"c","s":5,"b":"hello","w":17,"keep":0})",
                publish_entry{"a/x", "c", 5, "hello", 17, 0});
   check_format(R"({"k":"s","i":"s-1","t":"a/x","d":"w","a":-1})", subscribe_entry{"s-1", "a/x", "w", -1});
-  check_format(R"({"k":"e","i":"s-1"})", close_entry{"s-1"});
+  check_format(R"({"k":"e","i":"s-1"})", close_subscription_entry{"s-1"});
   check_format(R"({"k":"l","keep":35000,"resend":10000,"n":3})", configuration_change{35000, 10000, 3});
   check_format(R"({"k":"v","e":4,"m":"comb-1/d"})", go_live_entry{4, "comb-1/d"});
 }
@@ -57,12 +57,12 @@
 
 TEST(partition_log_entries, only_clock_entries_may_wait_for_their_sync) {
   CHECK(is_clock_advance(encode(clock_advance{1})));
-  CHECK_FALSE(is_clock_advance(encode(close_entry{"s"})));
+  CHECK_FALSE(is_clock_advance(encode(close_subscription_entry{"s"})));
   CHECK_THROWS(decode_error, is_clock_advance(object{}));
 }
 
 TEST(partition_log_entries, the_size_of_an_entry_follows_its_body) {
-  auto empty = entry_bytes(encode(publish_entry{"a/x", "c", 5, "", 17, {}}));
-  LONGS_EQUAL(empty + 5, entry_bytes(encode(publish_entry{"a/x", "c", 5, "hello", 17, {}})));
-  LONGS_EQUAL(empty, entry_bytes(encode(clock_advance{1})));
+  auto empty = estimate_entry_bytes(encode(publish_entry{"a/x", "c", 5, "", 17, {}}));
+  LONGS_EQUAL(empty + 5, estimate_entry_bytes(encode(publish_entry{"a/x", "c", 5, "hello", 17, {}})));
+  LONGS_EQUAL(empty, estimate_entry_bytes(encode(clock_advance{1})));
 }
--- a/src/storage/partition_leadership.cpp
+++ b/src/storage/partition_leadership.cpp
@@ -84,7 +84,7 @@
   auto first = assignment_.recreated_epoch << recreated_index_shift;
   wipe();
   applied_index_ = first;
-  state_.recreated_at = first;
+  state_.recreated_at_position = first;
   log_.restart_from({.index = first, .epoch = assignment_.recreated_epoch, .state = state_.take_snapshot()});
   log_.mark_synced(first);
 }
--- a/src/storage/partition_replication.cpp
+++ b/src/storage/partition_replication.cpp
@@ -218,7 +218,7 @@
   auto size = std::size_t{0};
   while (!congested && replica.next_index <= last_index() && size < max_message_bytes) {
     const auto& entry = log_.at(replica.next_index);
-    size += entry_bytes(entry.payload);
+    size += estimate_entry_bytes(entry.payload);
     message.entries.push_back({entry.epoch, entry.go_live_point, entry.payload});
     ++replica.next_index;
   }
--- a/src/storage/partition_requests.cpp
+++ b/src/storage/partition_requests.cpp
@@ -180,7 +180,7 @@
         return has_full_log_buffer(member);
       }))
     return {};
-  admission_.count_stop();
+  admission_.count_buffer_full_refusal();
   return request_error(errc::log_full, "the log buffer for a backup is full", execution_outcome::not_executed,
                        context_.settings.lag_limit / millisecond);
 }
@@ -193,7 +193,7 @@
   auto waiting_bytes = std::size_t{0};
   const auto replayed_index = std::max(it->second.applied_index, log_.base_index());
   for (auto index = replayed_index + 1; index <= last_index() && waiting_bytes <= buffer_bytes; ++index)
-    waiting_bytes += entry_bytes(log_.at(index).payload);
+    waiting_bytes += estimate_entry_bytes(log_.at(index).payload);
   return waiting_bytes > buffer_bytes;
 }
 
@@ -250,7 +250,7 @@
   const auto& subscription_id = request.subscription_id;
   const auto opening = request.opening;
   if (role_ != replica_role::primary || is_handing_over_) {
-    gateway->send(encode(subscribe_reply{subscription_id, opening, subscribe_result::not_here, 0}));
+    gateway->send(encode(subscribe_reply{subscription_id, opening, subscribe_result::not_led_here, 0}));
     return;
   }
   if (request.after > applied_index_) {
@@ -276,13 +276,13 @@
   return current.opening > request.opening || (current.connection == gateway && current.opening == request.opening);
 }
 
-auto partition::finish(const finish_request& request) -> void {
+auto partition::finish(const close_subscription_request& request) -> void {
   const auto& subscription_id = request.subscription_id;
   subscribers_.erase(subscription_id);
   disconnected_since_.erase(subscription_id);
   const auto can_append = role_ == replica_role::primary && !is_handing_over_;
   if (can_append && state_.subscriptions.count(subscription_id))
-    append_operation({close_entry{subscription_id}});
+    append_operation({close_subscription_entry{subscription_id}});
 }
 
 auto partition::read(const read_request& request, pending_reply_ptr reply) -> void {
--- a/src/storage/partition_state.cpp
+++ b/src/storage/partition_state.cpp
@@ -88,7 +88,7 @@
   if (const auto floor = expired_up_to(topic); after >= 0 && after < floor)
     return {resume_expired{id, floor}};
 
-  const auto from = after < 0 ? position : std::max(after, recreated_at);
+  const auto from = after < 0 ? position : std::max(after, recreated_at_position);
   auto outputs = std::vector<output>();
   outputs.emplace_back(subscription_opened{id, from});
   auto& subscription = subscriptions[id];
@@ -103,7 +103,8 @@
   return outputs;
 }
 
-auto partition_state::apply_entry(message_position /*position*/, const close_entry& entry) -> std::vector<output> {
+auto partition_state::apply_entry(message_position /*position*/, const close_subscription_entry& entry)
+    -> std::vector<output> {
   close_subscription(entry.subscription_id);
   return {};
 }
@@ -130,7 +131,7 @@
 // Where messages are not kept, a subscription has no claim to those from before the partition was recreated.
 auto partition_state::expired_up_to(const topic_state& topic) const -> message_position {
   if (retention_ms > 0)
-    return std::max(topic.expired_position, recreated_at);
+    return std::max(topic.expired_position, recreated_at_position);
   return topic.expired_position;
 }
 
--- a/src/storage/partition_state.hpp
+++ b/src/storage/partition_state.hpp
@@ -106,7 +106,7 @@
   std::int64_t retention_ms = 0;   // of its pool; 0: messages are kept for the resend window only
   std::int64_t resend_ms = 10000;  // how long a client may repeat a publish
   std::int64_t configuration_version = 0;
-  message_position recreated_at =
+  message_position recreated_at_position =
       0;  // no position up to here is known: the partition was recreated there (design 6.10)
   std::map<std::string, topic_state> topics;
   std::map<std::string, subscription_state> subscriptions;                         // by id
@@ -116,7 +116,7 @@
   auto apply_entry(message_position position, const clock_advance& entry) -> std::vector<output>;
   auto apply_entry(message_position position, const publish_entry& entry) -> std::vector<output>;
   auto apply_entry(message_position position, const subscribe_entry& entry) -> std::vector<output>;
-  auto apply_entry(message_position position, const close_entry& entry) -> std::vector<output>;
+  auto apply_entry(message_position position, const close_subscription_entry& entry) -> std::vector<output>;
   auto apply_entry(message_position position, const configuration_change& entry) -> std::vector<output>;
   auto apply_entry(message_position position, const go_live_entry& entry) -> std::vector<output>;
   auto apply_entry(message_position position, const unrecognized_entry& entry) -> std::vector<output>;
--- a/src/storage/partition_state_codec.cpp
+++ b/src/storage/partition_state_codec.cpp
@@ -89,7 +89,7 @@
                 {"keep", retention_ms},
                 {"resend", resend_ms},
                 {"law", configuration_version},
-                {"root", recreated_at},
+                {"root", recreated_at_position},
                 {"topics", encode_topics(*this)},
                 {"open", encode_subscriptions(*this)},
                 {"callers", encode_accepted_sequences(*this)}};
@@ -101,7 +101,7 @@
   state.retention_ms = get_int(snapshot, "keep");
   state.resend_ms = get_int(snapshot, "resend");
   state.configuration_version = get_int(snapshot, "law");
-  state.recreated_at = get_int_or(snapshot, "root", 0);
+  state.recreated_at_position = get_int_or(snapshot, "root", 0);
   for (const auto& row : get_array(snapshot, "topics"))
     decode_topic(state, row);
   for (const auto& row : get_array(snapshot, "open"))
--- a/src/storage/partition_state_test.cpp
+++ b/src/storage/partition_state_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using reachridge::clock_advance;
-using reachridge::close_entry;
+using reachridge::close_subscription_entry;
 using reachridge::partition_state;
 using reachridge::publish_entry;
 using reachridge::sequence_status;
@@ -107,7 +107,7 @@
   state.apply(7002, elapse(3600000));
   LONGS_EQUAL(1, state.topics.size());
   state.apply(7003, publish("c", 1));
-  state.apply(7004, close_entry{"s"});
+  state.apply(7004, close_subscription_entry{"s"});
   state.apply(7005, elapse(30000));
   LONGS_EQUAL(1, state.topics.size());
   LONGS_EQUAL(1, state.topics[topic].messages.size());
@@ -131,7 +131,7 @@
 
 TEST(partition_state_entries, the_format_of_a_snapshot_stays) {
   auto state = state_with_retention();
-  state.recreated_at = 1;
+  state.recreated_at_position = 1;
   state.configuration_version = 9;
   state.apply(2, subscribe("s", -1));
   state.apply(3, publish("c", 5));
--- a/src/storage/storage_node.cpp
+++ b/src/storage/storage_node.cpp
@@ -122,7 +122,7 @@
   co_await session.leave(std::min(limit, host_.now() + settings_.heartbeat_interval));
 }
 
-auto storage_node::partition_at(const std::string& id) const -> const partition* {
+auto storage_node::held_partition(const std::string& id) const -> const partition* {
   auto it = partitions_.find(id);
   return it == partitions_.end() ? nullptr : it->second.get();
 }
--- a/src/storage/storage_node.hpp
+++ b/src/storage/storage_node.hpp
@@ -27,7 +27,7 @@
   auto leave(monotonic_time limit) -> task<void>;
   // Takes settings that may change while the process runs.
   auto reload(const settings& settings) -> void;
-  [[nodiscard]] auto partition_at(const std::string& id) const -> const partition*;  // null: not held here
+  [[nodiscard]] auto held_partition(const std::string& id) const -> const partition*;  // null: not held here
   // The connection to another storage node; it is opened at the first call and kept.
   auto peer(const std::string& address) -> peer_connection&;
 
--- a/src/storage/storage_node_requests.cpp
+++ b/src/storage/storage_node_requests.cpp
@@ -174,7 +174,7 @@
     case client_operation::subscribe:
       return target.subscribe(decode_subscribe_request(command.request), command.gateway);
     case client_operation::finish:
-      return target.finish(decode_finish_request(command.request));
+      return target.finish(decode_close_subscription_request(command.request));
     case client_operation::read:
       return target.read(decode_read_request(command.request), command.reply);
     case client_operation::count:
@@ -189,7 +189,7 @@
   } else if (command.operation == client_operation::subscribe) {
     auto request = decode_subscribe_request(command.request);
     command.gateway->send(
-        encode(subscribe_reply{request.subscription_id, request.opening, subscribe_result::not_here, 0}));
+        encode(subscribe_reply{request.subscription_id, request.opening, subscribe_result::not_led_here, 0}));
   }
 }
 
--- a/tools/simulator/copies_test.cpp
+++ b/tools/simulator/copies_test.cpp
@@ -127,7 +127,7 @@
   }(f, address, code));
   f.network.run(f.network.clock + 900 * millisecond);
   STRCMP_EQUAL("old", code->c_str());
-  const auto* copy = f.processes.at(node)->storage->partition_at(partition_id);
+  const auto* copy = f.processes.at(node)->storage->held_partition(partition_id);
   CHECK(copy != nullptr);
   LONGS_EQUAL(7, get_int(copy->status(), "last"));
   LONGS_EQUAL(7, get_int(copy->status(), "solid"));
@@ -154,7 +154,7 @@
     auto shrunk = monotonic_time{0}, restored = monotonic_time{0};
     while (f.network.clock < from + 10 * second && restored == 0) {
       f.network.run(f.network.clock + 10 * millisecond);
-      auto status = f.processes.at(primary)->storage->partition_at(partition_id)->status();
+      auto status = f.processes.at(primary)->storage->held_partition(partition_id)->status();
       auto backups = get_array(status, "backups").size();
       if (backups == 1 && shrunk == 0)
         shrunk = f.network.clock;
@@ -180,7 +180,7 @@
     CHECK(f.begin());
     auto members = f.in_step(partition_id);
     LONGS_EQUAL(3, members.size());
-    const auto* primary = f.processes.at(members.front())->storage->partition_at(partition_id);
+    const auto* primary = f.processes.at(members.front())->storage->held_partition(partition_id);
     for (auto slow = std::size_t{1}; slow < members.size(); ++slow) {
       for (auto i = std::size_t{1}; i < members.size(); ++i)
         f.processes.at(members[i])->machine->sync_cost = (i == slow ? 60 : 3) * millisecond;
@@ -189,7 +189,7 @@
         f.network.run(f.network.clock + millisecond);
         auto released = get_int(primary->status(), "spoken");
         for (auto i = std::size_t{1}; i < members.size(); ++i) {
-          const auto* backup = f.processes.at(members[i])->storage->partition_at(partition_id);
+          const auto* backup = f.processes.at(members[i])->storage->held_partition(partition_id);
           CHECK(get_int(backup->status(), "solid") >= released);
         }
       }
--- a/tools/simulator/fleet.cpp
+++ b/tools/simulator/fleet.cpp
@@ -375,14 +375,14 @@
 auto fleet::primary_of(const std::string& cell) const -> std::string {
   for (const auto& [n, p] : processes)
     if (p->storage)
-      if (const auto* c = p->storage->partition_at(cell); c && c->is_primary())
+      if (const auto* c = p->storage->held_partition(cell); c && c->is_primary())
         return n;
   return {};
 }
 auto fleet::backup_of(const std::string& cell) const -> std::string {
   for (const auto& [n, p] : processes)
     if (p->storage)
-      if (const auto* c = p->storage->partition_at(cell); c && c->is_primary())
+      if (const auto* c = p->storage->held_partition(cell); c && c->is_primary())
         return node_of_member(get_string_or(c->status(), "back"));
   return {};
 }
--- a/tools/simulator/fleet_test.cpp
+++ b/tools/simulator/fleet_test.cpp
@@ -97,7 +97,7 @@
        {f.primary_of(id),
         node_of_member(f.processes.at(f.primary_of(id))->storage->session.view.partitions.at(id).backups().at(0))}) {
     auto& c = *f.processes.at(who)->storage;
-    auto last = get_int(c.partition_at(id)->status(), "last");
+    auto last = get_int(c.held_partition(id)->status(), "last");
     auto said = std::make_shared<std::string>();
     f.operator_tasks->spawn([](fleet& fl, std::string to, std::string cell_id, std::int64_t at, std::int64_t epoch,
                                std::shared_ptr<std::string> o) -> task<void> {
@@ -122,11 +122,11 @@
       } catch (const request_error& v) {
         *o += v.code_text();
       }
-    }(f, f.processes.at(who)->settings.address, id, last, get_int(c.partition_at(id)->status(), "epoch"), said));
+    }(f, f.processes.at(who)->settings.address, id, last, get_int(c.held_partition(id)->status(), "epoch"), said));
     f.network.run(f.network.clock + 200 * millisecond);
     STRCMP_EQUAL("nack old", said->c_str());
-    CHECK(get_int(c.partition_at(id)->status(), "last") < last + 3);
-    STRCMP_EQUAL(tried ? "backup" : "primary", get_string(c.partition_at(id)->status(), "role").c_str());
+    CHECK(get_int(c.held_partition(id)->status(), "last") < last + 3);
+    STRCMP_EQUAL(tried ? "backup" : "primary", get_string(c.held_partition(id)->status(), "role").c_str());
     ++tried;
   }
 }
@@ -374,7 +374,7 @@
   auto row = f.processes.at(old)->storage->session.view.partitions.at(id);
   auto who = node_of_member(row.backups().at(0));
   f.kill(old);
-  auto at = get_int(f.processes.at(who)->storage->partition_at(id)->status(), "last");
+  auto at = get_int(f.processes.at(who)->storage->held_partition(id)->status(), "last");
   f.operator_tasks->spawn(
       [](fleet& fl, std::string to, std::string cell_id, partition_assignment r, std::int64_t prev) -> task<void> {
         auto link = peer_connection(*fl.outside, peer_connection::options{"test", to, 100 * millisecond, second});
@@ -391,7 +391,7 @@
         co_await sleep_for(*fl.outside, second);
       }(f, f.processes.at(who)->settings.address, id, row, at));
   f.network.run(f.network.clock + 100 * millisecond);
-  LONGS_EQUAL(at + 1, get_int(f.processes.at(who)->storage->partition_at(id)->status(), "last"));
+  LONGS_EQUAL(at + 1, get_int(f.processes.at(who)->storage->held_partition(id)->status(), "last"));
   f.network.run(f.network.clock + 4 * second);
   STRCMP_EQUAL(who.c_str(), f.primary_of(id).c_str());
 }
@@ -463,7 +463,7 @@
       const auto* s = c.session.view.find(lost);
       if (seen == never && c.session.is_synchronized() && s && !s->disk_id.empty())
         seen = f.network.clock;
-      if (const auto* one = c.partition_at(id)) {
+      if (const auto* one = c.held_partition(id)) {
         auto now = one->status();
         auto back = get_string(now, "back");
         if (get_string(now, "role") == "primary" &&
@@ -502,7 +502,7 @@
         if (c.session.is_synchronized())
           fresh.emplace(n, f.network.clock);
         for (const auto& [id, row] : c.session.view.partitions)
-          if (const auto* one = c.partition_at(id); one && one->is_primary() && node_of_member(row.primary) == n)
+          if (const auto* one = c.held_partition(id); one && one->is_primary() && node_of_member(row.primary) == n)
             lives.emplace(n + " " + id, f.network.clock);
       }
     }
@@ -713,14 +713,14 @@
     auto end = f.network.clock + 8 * second;
     auto said = std::int64_t{0};
     while (f.backup_of(id) != late && f.network.clock < end) {
-      if (const auto* c = f.processes.at(prim)->storage->partition_at(id); c && c->is_primary())
+      if (const auto* c = f.processes.at(prim)->storage->held_partition(id); c && c->is_primary())
         said = get_int(c->status(), "spoken");
       f.network.run(f.network.clock + millisecond);
     }
     if (f.backup_of(id) != late || f.primary_of(id) != prim)
       continue;
     ++moves;
-    const auto* has = f.processes.at(late)->storage->partition_at(id);
+    const auto* has = f.processes.at(late)->storage->held_partition(id);
     CHECK(has != nullptr);
     CHECK(said > 0);
     CHECK(get_int(has->status(), "solid") >= said);
