--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -3,12 +3,12 @@
 namespace reachridge {
 namespace {
 
-// All drains, and the assignments that were committed after version `held`.
+// Returns all drains and the assignments that were committed after version `held`.
 auto partitions_since(const cluster_view& view, std::int64_t held) -> partitions_delta {
   auto delta = partitions_delta{view.partitions_version, {}, view.drains};
   for (const auto& [id, assignment] : view.partitions)
     if (assignment.committed_index > held)
-      delta.rows[id] = assignment;
+      delta.assignments[id] = assignment;
   return delta;
 }
 
@@ -22,13 +22,14 @@
     auto needs_whole_table = table.zone_only && filter.all_zones;
     out.tables[source] = needs_whole_table ? 0 : table.version;
   }
-  out.needed = filter;
+  out.filter = filter;
   return out;
 }
 
-auto cluster_view::delta_since(const view_versions& held, bool always, bool with_configuration) const -> view_delta {
+auto cluster_view::delta_since(const view_versions& held, bool include_empty, bool with_configuration) const
+    -> view_delta {
   auto delta = view_delta();
-  auto accepts_deltas = held.needed.has_value();
+  auto accepts_deltas = held.filter.has_value();
   auto lacks_newest = configuration && configuration->number > held.configuration_number;
   if (with_configuration && lacks_newest) {
     delta.configuration = configuration;
@@ -36,11 +37,11 @@
   }
   if (partitions_version > held.partitions)
     delta.partitions = partitions_since(*this, held.partitions);
-  auto needed = held.needed.value_or(node_filter());
+  auto holder_filter = held.filter.value_or(node_filter());
   for (const auto& [source, table] : session_tables) {
     auto it = held.tables.find(source);
     auto held_version = it == held.tables.end() ? 0 : it->second;
-    if (auto changes = table.delta_since(held_version, needed, accepts_deltas, always))
+    if (auto changes = table.delta_since(held_version, holder_filter, accepts_deltas, include_empty))
       delta.tables[source] = std::move(*changes);
   }
   for (const auto& [source, version] : held.tables)
@@ -67,7 +68,7 @@
 }
 
 auto cluster_view::apply(partitions_delta delta) -> void {
-  for (auto& [id, assignment] : delta.rows) {
+  for (auto& [id, assignment] : delta.assignments) {
     auto& current = partitions[id];
     if (assignment.epoch > current.epoch)
       current = std::move(assignment);
@@ -80,8 +81,8 @@
   return !configuration || other->number > configuration->number;
 }
 
-auto cluster_view::changes_since(const value& held, bool always, bool with_configuration) const -> object {
-  return encode(delta_since(decode_view_versions(held), always, with_configuration));
+auto cluster_view::changes_since(const value& held, bool include_empty, bool with_configuration) const -> object {
+  return encode(delta_since(decode_view_versions(held), include_empty, with_configuration));
 }
 
 auto cluster_view::lacks_configuration(const value& held) const -> bool {
--- a/src/cluster/cluster_view_test.cpp
+++ b/src/cluster/cluster_view_test.cpp
@@ -2,14 +2,14 @@
 
 #include "runtime/request_error.hpp"
 
-// After all others: it redefines new.
+// Must be the last include: CppUTest redefines operator new.
 #include <CppUTest/TestHarness.h>
 
 namespace {
 
 using namespace reachridge;
 
-auto row(const std::string& name, const std::string& kind, const std::string& zone) -> node_descriptor {
+auto make_node(const std::string& name, const std::string& kind, const std::string& zone) -> node_descriptor {
   auto out = node_descriptor();
   out.name = name;
   out.kind = kind;
@@ -22,9 +22,10 @@
   return configuration_record::from_compiled(compile_configuration(body));
 }
 
-// One view pulls what it lacks from another. Returns how many rows came, removed ones included; -1: nothing new.
-auto pull(const cluster_view& from, cluster_view& to, bool always = false) -> int {
-  auto changes = from.changes_since(to.version_vector(), always);
+// Updates view `to` with a delta from view `from`. Returns the number of session table rows in the delta, counting
+// removed rows, or -1 if the delta is empty.
+auto pull(const cluster_view& from, cluster_view& to, bool include_empty = false) -> int {
+  auto changes = from.changes_since(to.version_vector(), include_empty);
   if (changes.empty())
     return -1;
   auto count = 0;
@@ -40,7 +41,7 @@
   return count;
 }
 
-// The version vector of a node of an earlier release, which does not say what it needs.
+// Returns the version vector as an earlier release sends it: without the filter of needed nodes.
 auto vector_of_earlier_release(const cluster_view& view) -> value {
   auto out = view.version_vector();
   out.as_object().erase("need");
@@ -49,15 +50,15 @@
 
 }  // namespace
 
-TEST_GROUP(view_pulls){};
+TEST_GROUP(cluster_view_deltas){};
 
-TEST(view_pulls, only_what_is_lacking_and_never_back) {
+TEST(cluster_view_deltas, contain_newer_parts_and_never_revert_older) {
   auto source = cluster_view();
   auto view = cluster_view();
   source.configuration = configuration_of(R"({"number":4,"spaces":[]})");
   source.partitions["s/0"] = {3, 0, "x/1", {"x/1", "y/1"}, 9, ""};
   source.partitions_version = 9;
-  source.session_tables["q1"].upsert(row("x", "comb", "z"), 7);
+  source.session_tables["q1"].upsert(make_node("x", "comb", "z"), 7);
   CHECK(view.merge(source.changes_since(view.version_vector())));
   CHECK(source.changes_since(view.version_vector()).empty());
   CHECK(view.find("x") != nullptr);
@@ -71,12 +72,12 @@
   LONGS_EQUAL(4, view.configuration->number);
   LONGS_EQUAL(3, view.partitions["s/0"].epoch);
   view.merge(old.changes_since(view.version_vector()));
-  CHECK(view.find("x") == nullptr);  // q1 is not known there any more
+  CHECK(view.find("x") == nullptr);  // `old` does not know the source q1, so its table is removed
 }
 
-// Nodes get what they need of a configuration, in few bytes; the text it was translated from stays with the control
-// nodes.
-TEST(view_pulls, a_configuration_comes_packed_and_without_its_origin) {
+// Nodes receive a configuration deflated and without its origin (the text that it was translated from), which only the
+// control nodes keep.
+TEST(cluster_view_deltas, a_configuration_is_deflated_and_has_no_origin) {
   auto source = cluster_view();
   auto agent = cluster_view();
   auto node = cluster_view();
@@ -92,7 +93,7 @@
   LONGS_EQUAL(4, agent.configuration->number);
   LONGS_EQUAL(1000, agent.configuration->compiled()->spaces.size());
   STRCMP_EQUAL("", agent.configuration->compiled()->origin.c_str());
-  CHECK(node.merge(agent.changes_since(node.version_vector())));  // as the agent hands it on
+  CHECK(node.merge(agent.changes_since(node.version_vector())));  // forwarded by the agent
   LONGS_EQUAL(1000, node.configuration->compiled()->spaces.size());
   auto old = vector_of_earlier_release(node);
   old.as_object()["charter"] = 3;
@@ -105,43 +106,43 @@
   CHECK_THROWS(decode_error, other.merge(object{{"packed", "none"}}));
 }
 
-// A change costs its own row, whatever the size of the deployment.
-TEST(view_pulls, only_the_rows_that_changed) {
+// The size of a delta depends on the number of changed rows, not on the number of nodes.
+TEST(cluster_view_deltas, contain_only_changed_rows) {
   auto source = cluster_view();
   auto view = cluster_view();
   view.filter = {"comb", "z1"};
   auto& table = source.session_tables["q1"];
   for (auto i = 0; i < 100; ++i)
-    table.upsert(row("c" + std::to_string(i), "comb", "z1"), i + 1);
+    table.upsert(make_node("c" + std::to_string(i), "comb", "z1"), i + 1);
   LONGS_EQUAL(100, pull(source, view));
   LONGS_EQUAL(-1, pull(source, view));
-  table.upsert(row("c5", "comb", "z2"), 101);
+  table.upsert(make_node("c5", "comb", "z2"), 101);
   table.remove("c6", 102);
-  LONGS_EQUAL(3, pull(source, view));  // c5 went from its zone and came to another
+  LONGS_EQUAL(3, pull(source, view));  // c5 counts twice: removed from its old zone and added to the new one
   STRCMP_EQUAL("z2", view.find("c5")->zone.c_str());
   CHECK(view.find("c6") == nullptr);
   LONGS_EQUAL(99, view.nodes().size());
-  // An earlier release is given the whole table.
+  // A node of an earlier release receives the whole table.
   table.remove("c7", 103);
   auto whole = source.changes_since(vector_of_earlier_release(view));
   LONGS_EQUAL(98, get_array(whole["tables"].as_object()["q1"], "rows").size());
   CHECK(get_value(whole["tables"].as_object()["q1"], "since").is_null());
 }
 
-// What a node does not need is no news to it; its version comes along when something else does.
-TEST(view_pulls, what_is_not_needed_is_no_news) {
+// A change outside a node's filter causes no delta. The new table version is sent with the next delta or on request.
+TEST(cluster_view_deltas, are_empty_for_changes_outside_the_filter) {
   auto source = cluster_view();
   auto gateway = cluster_view();
   auto storage = cluster_view();
   gateway.filter = {"forager", "z1"};
   storage.filter = {"comb", "z1"};
   auto& table = source.session_tables["q1"];
-  table.upsert(row("f1", "forager", "z1"), 1);
-  table.upsert(row("f2", "forager", "z2"), 2);
-  table.upsert(row("c1", "comb", "z2"), 3);
+  table.upsert(make_node("f1", "forager", "z1"), 1);
+  table.upsert(make_node("f2", "forager", "z2"), 2);
+  table.upsert(make_node("c1", "comb", "z2"), 3);
   LONGS_EQUAL(2, pull(source, gateway));
   LONGS_EQUAL(1, pull(source, storage));
-  table.upsert(row("f3", "forager", "z2"), 4);
+  table.upsert(make_node("f3", "forager", "z2"), 4);
   LONGS_EQUAL(-1, pull(source, gateway));
   LONGS_EQUAL(-1, pull(source, storage));
   table.remove("f1", 5);
@@ -152,41 +153,42 @@
   CHECK(gateway.find("f1") == nullptr);
 }
 
-// Tombstones are kept for a bounded number of rows; who was away for longer gets the whole table.
-TEST(view_pulls, too_old_a_version_gets_the_whole) {
+// The number of tombstones is bounded. A node whose version is older than the oldest tombstone receives the whole
+// table.
+TEST(cluster_view_deltas, replace_the_whole_table_for_a_version_that_is_too_old) {
   auto source = cluster_view();
   auto view = cluster_view();
   auto late = cluster_view();
   view.filter = late.filter = {"comb", "z1"};
   auto& table = source.session_tables["q1"];
-  table.upsert(row("old", "comb", "z1"), 1);
+  table.upsert(make_node("old", "comb", "z1"), 1);
   LONGS_EQUAL(1, pull(source, late));
   table.remove("old", 2);
   for (auto i = 0; i < 1000; ++i) {
-    table.upsert(row("n" + std::to_string(i), "comb", "z1"), 3 + i * 2);
+    table.upsert(make_node("n" + std::to_string(i), "comb", "z1"), 3 + i * 2);
     table.remove("n" + std::to_string(i), 4 + i * 2);
     pull(source, view);
   }
-  table.upsert(row("last", "comb", "z1"), 5000);
+  table.upsert(make_node("last", "comb", "z1"), 5000);
   LONGS_EQUAL(1, pull(source, view));
   LONGS_EQUAL(1, pull(source, late));
   CHECK(late.find("old") == nullptr);
   CHECK(table.tombstones.size() < 300);
 }
 
-// A gateway that has to redirect its clients to other zones asks for all gateways, over an agent that did not hold
-// them.
-TEST(view_pulls, a_wider_filter_is_filled_through_the_agent) {
+// A gateway that must redirect clients to other zones widens its filter to the gateways of all zones. Its agent, which
+// held only those of its own zone, must fetch the others first.
+TEST(cluster_view_deltas, pass_through_the_agent_after_the_filter_is_widened) {
   auto source = cluster_view();
   auto agent = cluster_view();
   auto gateway = cluster_view();
   agent.filter = gateway.filter = {"forager", "z1"};
-  source.session_tables["q1"].upsert(row("f1", "forager", "z1"), 1);
-  source.session_tables["q1"].upsert(row("f2", "forager", "z2"), 2);
+  source.session_tables["q1"].upsert(make_node("f1", "forager", "z1"), 1);
+  source.session_tables["q1"].upsert(make_node("f2", "forager", "z2"), 2);
   LONGS_EQUAL(1, pull(source, agent));
   LONGS_EQUAL(1, pull(agent, gateway));
   gateway.filter.all_zones = true;
-  LONGS_EQUAL(-1, pull(agent, gateway));  // the agent cannot know yet
+  LONGS_EQUAL(-1, pull(agent, gateway));  // the agent does not hold the other zones yet
   agent.filter.all_zones = true;
   LONGS_EQUAL(2, pull(source, agent));
   LONGS_EQUAL(2, pull(agent, gateway));
@@ -197,16 +199,16 @@
   CHECK(gateway.find("f2") == nullptr);
 }
 
-// The encoded form is that of nodes of other releases: each field and the order of the fields.
-TEST(view_pulls, the_encoded_form_of_a_delta) {
+// Nodes of other releases read this encoding, so the fields and their order must not change.
+TEST(cluster_view_deltas, keep_their_encoding) {
   auto source = cluster_view();
   source.partitions["s/0"] = {3, 0, "x/1", {"x/1", "y/1"}, 9, "placed"};
   source.partitions_version = 9;
   source.drains["y"] = {drain_kind::retire, false, 8};
   auto& table = source.session_tables["q1"];
-  table.upsert(row("c1", "comb", "z1"), 1);
-  table.upsert(row("c2", "comb", "z1"), 2);
-  table.upsert(row("c3", "comb", "z1"), 3);
+  table.upsert(make_node("c1", "comb", "z1"), 1);
+  table.upsert(make_node("c2", "comb", "z1"), 2);
+  table.upsert(make_node("c3", "comb", "z1"), 3);
   table.remove("c2", 4);
   auto held = object{{"charter", 0},
                      {"cells", 0},
--- a/src/cluster/codec.cpp
+++ b/src/cluster/codec.cpp
@@ -1,4 +1,4 @@
-// The types of types.hpp as values, and back. No other file knows the names of their fields.
+// Encodes and decodes the types of types.hpp. Their field names appear in no other file.
 #include "cluster/types.hpp"
 
 namespace reachridge {
@@ -7,7 +7,7 @@
   auto replicas = array();
   for (const auto& member : in_sync_replicas)
     replicas.emplace_back(member);
-  // "back" is for readers: the set in "step" says it all.
+  // "back" is informational and never decoded: "step" holds the complete in-sync set.
   auto others = backups();
   auto first_backup = others.empty() ? std::string() : others.front();
   return object{{"epoch", epoch},   {"root", recreated_epoch},      {"prim", primary}, {"back", first_backup},
--- a/src/cluster/control_operation.hpp
+++ b/src/cluster/control_operation.hpp
@@ -1,28 +1,28 @@
-// What nodes and operators' tools ask of control nodes.
+// The operations that nodes and operators' tools request from control nodes, and their names in messages.
 #pragma once
 #include <optional>
 #include <string_view>
 
 namespace reachridge {
 
-// The operation of a request. Requests of the replicated log have names of their own (raft/types.hpp).
+// Requests of the replicated log are not listed here; raft/types.hpp defines their names.
 enum class control_operation {
-  session,             // a node's heartbeat
-  leave,               // a node ends its session: it serves no more
-  gossip,              // another control node's sessions
-  propose,             // a command for the replicated log
-  choose_replica,      // the best node for a new backup
-  in_force,            // whether a configuration version is in force everywhere
-  read_state,          // the newest state that a majority has agreed on
-  recreate_partition,  // an empty partition in the place of one whose copies are all lost
-  drain,               // an order that a node or a zone leaves or stays
-  voters,              // who votes on the replicated log
-  status,
+  session,             // heartbeat of a node
+  leave,               // ends the session of a node that stops serving
+  gossip,              // the session table of another control node
+  propose,             // a command to append to the replicated log
+  choose_replica,      // selects the node for a new backup of a partition
+  in_force,            // asks whether a configuration version is in force on all nodes
+  read_state,          // reads the newest committed state
+  recreate_partition,  // replaces a partition that lost all its replicas by an empty one
+  drain,               // starts or cancels the drain of a node or a zone
+  voters,              // reads the status of the replicated log, including its voters, from the leader
+  status,              // reads the status of the control node that receives the request
 };
 
-// The operation's name in messages.
+// Returns the name of the operation in messages.
 auto name_of(control_operation operation) -> std::string_view;
-// The operation of this name, if there is one.
+// Returns the operation with this name, or nullopt if the name is unknown.
 auto find_control_operation(std::string_view name) -> std::optional<control_operation>;
 
 }  // namespace reachridge
--- a/src/cluster/control_session.cpp
+++ b/src/cluster/control_session.cpp
@@ -48,11 +48,12 @@
     if (answered)
       co_await sleep_for(host_, pause_after(sent_at));
     else
-      co_await link_changed_.wait(host_, host_.now() + settings_.heartbeat_interval);
+      co_await connection_changed_.wait(host_, host_.now() + settings_.heartbeat_interval);
   }
 }
 
-// An answer that came at once says that there is much to send: a short pause gathers it.
+// A control node delays its answer while it has no updates. After a fast answer the session pauses briefly, so that the
+// next heartbeat collects several updates.
 auto control_session::pause_after(monotonic_time sent_at) const -> monotonic_time {
   const auto answered_at_once = host_.now() - sent_at < settings_.heartbeat_interval / 2;
   return answered_at_once ? settings_.heartbeat_interval / 4 : 0;
@@ -63,10 +64,10 @@
       host_, peer_connection::options{settings_.name, endpoints_[endpoint_index_], settings_.heartbeat_interval,
                                       settings_.failure_timeout});
   peer_->on_state_change = [this](bool) {
-    link_changed_.wake();
+    connection_changed_.wake();
   };
   peer_->on_process_gone = [this] {
-    link_changed_.wake();
+    connection_changed_.wake();
   };
 }
 
@@ -87,7 +88,7 @@
 
 auto control_session::move_to_new_endpoint() -> void {
   move_at_ = never;
-  const auto found = std::find(endpoints_.begin(), endpoints_.end(), move_to_);
+  const auto found = std::find(endpoints_.begin(), endpoints_.end(), move_target_);
   if (found == endpoints_.end())
     return;
   const auto index = static_cast<std::size_t>(found - endpoints_.begin());
@@ -95,8 +96,9 @@
     use_endpoint(index);
 }
 
-// An endpoint whose connection is lost is left at once; one that is connected but does not extend the lease, after a
-// while: sooner than the leader forgets the nodes of a control node that it does not hear.
+// The session leaves an endpoint whose connection was refused or has been down for two heartbeat intervals. It leaves a
+// connected endpoint that has not extended the lease for 3/4 of the failure timeout, which is before the leader drops
+// the nodes of a control node that it no longer hears from.
 auto control_session::should_leave_endpoint() -> bool {
   const auto now = host_.now();
   const auto is_up = peer_->is_up();
@@ -108,7 +110,7 @@
   return (connection_lost || lease_stalled) && endpoints_.size() > 1;
 }
 
-// Each node goes to another at random: what one control node had does not all fall on the next.
+// Chooses the next endpoint at random, so that the sessions of a failed control node spread over all others.
 auto control_session::leave_endpoint() -> void {
   disconnect();
   const auto distance = 1 + host_.random_below(endpoints_.size() - 1);
@@ -122,7 +124,7 @@
 }
 
 auto control_session::make_heartbeat() const -> session_request {
-  // In this order: reporting the version may change `self`, which goes out with the next heartbeat.
+  // `self` is copied first: reported_version() may change it, and the change is sent with the next heartbeat.
   return {.node = self,
           .held_versions = view.version_vector(),
           .control_nodes_checksum = control_nodes_.empty() ? 0 : address_list_checksum(control_nodes_),
@@ -157,31 +159,32 @@
 auto control_session::extend_lease(const lease_grant& lease, monotonic_time sent_at) -> void {
   const auto expires_at = sent_at + lease.duration;
   lease_expires_at_ = std::max(lease_expires_at_, expires_at);
-  // A control node that is granted nothing more gives what is left of the old lease: that is no extension.
+  // A control node whose own permission is not renewed grants only the remainder of the old lease. That does not count
+  // as an extension.
   if (expires_at > extended_until_ + settings_.heartbeat_interval / 2) {
     extended_until_ = expires_at;
     lease_extended_at_ = host_.now();
   }
   update_versions(lease.versions, sent_at);
-  if (!answered_once_)
+  if (!lease_received_)
     required_partitions_version_ = lease.partitions_version;
-  answered_once_ = true;
+  lease_received_ = true;
 }
 
-// A node that has just started serves by nothing older than the newest that a majority had agreed on.
+// After its start, a node must not serve with a configuration older than the newest committed one at that time.
 auto control_session::update_versions(const version_requirements& versions, monotonic_time sent_at) -> void {
   least_required_ = std::max(least_required_, versions.required);
   newest_announced_ = std::max({newest_announced_, least_required_, versions.newest});
-  if (!answered_once_)
+  if (!lease_received_)
     least_required_ = newest_announced_;
   deadlines_.merge(versions.upcoming, sent_at);
   deadlines_.prune(host_.now());
 }
 
-// Takes over the voters of the replicated log as endpoints, before the seeds, which may all be of another time (design
-// 5.2). All control nodes are to have equally many sessions: one that is new to this node is moved to with the
-// probability that it would have been chosen at the start. Not at once, since all nodes hear of it together
-// (design 5.1).
+// Uses the voters of the replicated log as endpoints, ahead of the seeds, which may all be outdated (design 5.2). To
+// balance sessions over the control nodes, the session moves to a newly listed control node with the probability with
+// which it would have chosen that node at its start. The move takes place after a random delay, because all nodes learn
+// of the new control node at the same time (design 5.1).
 auto control_session::update_control_nodes(const std::vector<std::string>& addresses) -> void {
   if (addresses.empty())
     return;
@@ -197,36 +200,36 @@
       endpoints_.push_back(seed);
   auto position = std::find(endpoints_.begin(), endpoints_.end(), current);
   if (position == endpoints_.end())
-    position = endpoints_.insert(endpoints_.end(), current);  // it just answered
+    position = endpoints_.insert(endpoints_.end(), current);  // the current endpoint stays usable: it has just answered
   endpoint_index_ = static_cast<std::size_t>(position - endpoints_.begin());
   if (new_nodes.empty() || host_.random_below(endpoints_.size()) >= new_nodes.size())
     return;
-  move_to_ = new_nodes[host_.random_below(new_nodes.size())];
+  move_target_ = new_nodes[host_.random_below(new_nodes.size())];
   const auto longest_delay = static_cast<std::uint64_t>(settings_.failure_timeout * 2);
   move_at_ = host_.now() + static_cast<monotonic_time>(host_.random_below(longest_delay));
 }
 
-auto control_session::call(value request, monotonic_time limit) -> task<value> {
+auto control_session::call(value request, monotonic_time deadline) -> task<value> {
   if (!peer_)
     throw request_error(errc::unreachable, "no session stands", execution_outcome::not_executed,
                         settings_.heartbeat_interval / millisecond);
-  auto peer = peer_;  // kept until the answer comes, also if the session moves to another endpoint
-  co_return co_await peer->call(std::move(request), limit);
+  auto peer = peer_;  // keeps the connection until the answer arrives, even if the session moves to another endpoint
+  co_return co_await peer->call(std::move(request), deadline);
 }
 
-auto control_session::propose(value command, monotonic_time limit) -> task<value> {
+auto control_session::propose(value command, monotonic_time deadline) -> task<value> {
   auto request = encode_proposal(std::move(command));
-  co_return co_await call(std::move(request), limit);
+  co_return co_await call(std::move(request), deadline);
 }
 
-auto control_session::leave(monotonic_time limit) -> task<void> {
+auto control_session::leave(monotonic_time deadline) -> task<void> {
   closed = true;
   lease_expires_at_ = 0;
   auto request = encode_leave(self.name);
   try {
-    co_await call(std::move(request), limit);
+    co_await call(std::move(request), deadline);
   } catch (const request_error&) {
-    // The session ends by its timeout.
+    // The control node ends the session after the failure timeout.
   }
 }
 
--- a/src/cluster/node_kind.hpp
+++ b/src/cluster/node_kind.hpp
@@ -1,4 +1,4 @@
-// The kinds of nodes, by the words for them in messages between nodes, in stored data and on the operators' pages.
+// The kinds of nodes. The values appear in messages between nodes, in stored data and on the operators' pages.
 #pragma once
 
 namespace reachridge::node_kind {
--- a/src/cluster/session_codec.cpp
+++ b/src/cluster/session_codec.cpp
@@ -8,17 +8,17 @@
 namespace {
 
 auto encode_pending(const std::vector<pending_version>& upcoming) -> array {
-  auto rows = array();
+  auto entries = array();
   for (const auto& pending : upcoming)
-    rows.push_back(array{pending.version, pending.time_left});
-  return rows;
+    entries.push_back(array{pending.version, pending.time_left});
+  return entries;
 }
 
-auto decode_pending(const value& row) -> pending_version {
-  if (!row.is_array() || row.get_array().size() != 2)
+auto decode_pending(const value& entry) -> pending_version {
+  if (!entry.is_array() || entry.get_array().size() != 2)
     throw decode_error("a deadline is a number and a time");
-  const auto& version = row.get_array()[0];
-  const auto& time_left = row.get_array()[1];
+  const auto& version = entry.get_array()[0];
+  const auto& time_left = entry.get_array()[1];
   if (!version.is_int64() || !time_left.is_int64())
     throw decode_error("a deadline is a number and a time");
   return {version.get_int64(), time_left.get_int64()};
@@ -35,8 +35,8 @@
   auto versions = version_requirements();
   versions.required = get_int_or(encoded, "need", 0);
   versions.newest = get_int_or(encoded, "newest", 0);
-  for (const auto& row : get_array(encoded, "due"))
-    versions.upcoming.push_back(decode_pending(row));
+  for (const auto& entry : get_array(encoded, "due"))
+    versions.upcoming.push_back(decode_pending(entry));
   return versions;
 }
 
@@ -113,7 +113,7 @@
   for (const auto& address : get_array(encoded, "queens"))
     reply.updates.control_nodes.emplace_back(address.as_string());
   reply.placement_requests = get_array(encoded, "wish");
-  // The other fields stay in it: cluster_view::merge reads its own alone.
+  // The fields decoded above remain in the object; cluster_view::merge ignores them.
   if (encoded.is_object())
     reply.updates.view_changes = std::move(encoded.get_object());
   return reply;
@@ -152,7 +152,7 @@
       if (field.value().is_int64())
         request.loads[std::string(field.key())] = field.value().get_int64();
   }
-  // The other fields stay in it: session_table::merge reads its own alone.
+  // The fields decoded above remain in the object; session_table::merge ignores them.
   if (get_value(encoded, "rows").is_array())
     request.table_changes = std::move(encoded);
   return request;
@@ -178,7 +178,7 @@
   if (get_bool(encoded, "grant")) {
     auto& grant = reply.grant.emplace();
     grant.placement_requests = get_array(encoded, "wish");
-    get_int(encoded, "need");  // required here
+    get_int(encoded, "need");  // throws if absent: the field is mandatory in a grant
     grant.versions = decode_version_requirements(encoded);
     grant.partitions_version = get_int(encoded, "cells");
   }
--- a/src/cluster/session_codec_test.cpp
+++ b/src/cluster/session_codec_test.cpp
@@ -3,7 +3,7 @@
 #include "cluster/control_operation.hpp"
 #include "cluster/node_kind.hpp"
 
-// After all others: it redefines new.
+// Must be the last include: CppUTest redefines operator new.
 #include <CppUTest/TestHarness.h>
 
 namespace {
@@ -35,7 +35,7 @@
 }  // namespace
 
 TEST_GROUP(session_codec){};
-// Names and order of fields are those of all earlier versions, which run beside this one during an upgrade.
+// Earlier releases run beside this one during an upgrade, so the names and the order of the fields must not change.
 TEST(session_codec, session_messages_keep_their_fields) {
   auto request = session_request{.node = sample_node(),
                                  .held_versions = object{{"cells", 2}},
@@ -74,36 +74,36 @@
   check_json(R"({"have":9,"steps":true,"live_ver":3,"wish":[],"grant":true,"need":4,"newest":4,"cells":17})",
              encode(reply));
 }
-TEST(session_codec, session_messages_come_back_as_they_went) {
+TEST(session_codec, session_messages_round_trip) {
   auto request = session_request{.node = sample_node(),
                                  .held_versions = object{{"need", object{{"wide", true}}}},
                                  .control_nodes_checksum = 77,
                                  .accepts_deadlines = true,
                                  .served_version = 4};
-  auto read_request = decode_session_request(encode(request));
-  CHECK(read_request.node.to_value() == request.node.to_value());
-  CHECK(read_request.held_versions == request.held_versions);
-  CHECK(requests_all_zones(read_request.held_versions));
-  LONGS_EQUAL(77, read_request.control_nodes_checksum);
-  CHECK(read_request.accepts_deadlines);
-  LONGS_EQUAL(4, read_request.served_version);
+  auto decoded_request = decode_session_request(encode(request));
+  CHECK(decoded_request.node.to_value() == request.node.to_value());
+  CHECK(decoded_request.held_versions == request.held_versions);
+  CHECK(requests_all_zones(decoded_request.held_versions));
+  LONGS_EQUAL(77, decoded_request.control_nodes_checksum);
+  CHECK(decoded_request.accepts_deadlines);
+  LONGS_EQUAL(4, decoded_request.served_version);
 
   auto reply = session_reply();
   reply.updates.view_changes["packed"] = "text";
   reply.updates.control_nodes = {"a:1"};
   reply.lease = sample_lease();
-  auto read_reply = decode_session_reply(encode(reply));
-  CHECK(read_reply.updates.has_configuration());
-  CHECK_FALSE(read_reply.updates.has_partitions());
-  CHECK(read_reply.updates.control_nodes == reply.updates.control_nodes);
-  LONGS_EQUAL(900, read_reply.lease->duration);
-  LONGS_EQUAL(4, read_reply.lease->versions.required);
-  LONGS_EQUAL(6, read_reply.lease->versions.newest);
-  CHECK(read_reply.lease->versions.upcoming == sample_lease().versions.upcoming);
-  LONGS_EQUAL(17, read_reply.lease->partitions_version);
+  auto decoded_reply = decode_session_reply(encode(reply));
+  CHECK(decoded_reply.updates.has_configuration());
+  CHECK_FALSE(decoded_reply.updates.has_partitions());
+  CHECK(decoded_reply.updates.control_nodes == reply.updates.control_nodes);
+  LONGS_EQUAL(900, decoded_reply.lease->duration);
+  LONGS_EQUAL(4, decoded_reply.lease->versions.required);
+  LONGS_EQUAL(6, decoded_reply.lease->versions.newest);
+  CHECK(decoded_reply.lease->versions.upcoming == sample_lease().versions.upcoming);
+  LONGS_EQUAL(17, decoded_reply.lease->partitions_version);
   CHECK_FALSE(decode_session_reply(object()).lease.has_value());
 }
-TEST(session_codec, gossip_messages_come_back_as_they_went) {
+TEST(session_codec, gossip_messages_round_trip) {
   auto request = sample_gossip();
   CHECK_FALSE(decode_gossip_request(encode(request)).live_nodes.has_value());
   CHECK(decode_gossip_request(encode(request)).table_changes.is_null());
@@ -111,37 +111,37 @@
   request.reports_loads = true;
   request.loads = {{"c1", 12}};
   request.table_changes = object{{"rows", array()}};
-  auto read_request = decode_gossip_request(encode(request));
-  CHECK(read_request.live_nodes == request.live_nodes);
-  CHECK(read_request.loads == request.loads);
-  CHECK(read_request.table_changes.is_object());
-  LONGS_EQUAL(3, read_request.live_nodes_version);
+  auto decoded_request = decode_gossip_request(encode(request));
+  CHECK(decoded_request.live_nodes == request.live_nodes);
+  CHECK(decoded_request.loads == request.loads);
+  CHECK(decoded_request.table_changes.is_object());
+  LONGS_EQUAL(3, decoded_request.live_nodes_version);
 
   auto reply =
       gossip_reply{.table_version = 9, .accepts_deltas = true, .live_nodes_version = 3, .grant = gossip_lease_grant()};
-  auto read_reply = decode_gossip_reply(encode(reply));
-  LONGS_EQUAL(9, read_reply.table_version);
-  CHECK(read_reply.accepts_deltas);
-  CHECK(read_reply.grant.has_value());
+  auto decoded_reply = decode_gossip_reply(encode(reply));
+  LONGS_EQUAL(9, decoded_reply.table_version);
+  CHECK(decoded_reply.accepts_deltas);
+  CHECK(decoded_reply.grant.has_value());
   LONGS_EQUAL(-1, decode_gossip_reply(object()).table_version);
 }
-TEST(session_codec, a_field_that_is_missing_is_refused) {
+TEST(session_codec, a_missing_mandatory_field_is_rejected) {
   CHECK_THROWS(decode_error, decode_session_request(object{{"op", "session"}}));
   CHECK_THROWS(decode_error, decode_gossip_request(object{{"op", "swap"}}));
   CHECK_THROWS(decode_error, decode_gossip_reply(object{{"grant", true}, {"need", 4}}));
   CHECK_THROWS(decode_error, decode_gossip_reply(object{{"grant", true}, {"cells", 4}}));
 }
-TEST(session_codec, what_is_no_list_of_deadlines_is_refused) {
-  for (const auto& row :
+TEST(session_codec, a_malformed_list_of_deadlines_is_rejected) {
+  for (const auto& entry :
        {value(1), value(array{1}), value(array{"a", 1}), value(array{1, "a"}), value(array{1, 2, 3}), value(nullptr)}) {
     auto deadlines = array();
-    deadlines.push_back(row);
+    deadlines.push_back(entry);
     CHECK_THROWS(decode_error, decode_session_reply(object{{"lease", 1}, {"due", deadlines}}));
     CHECK_THROWS(decode_error,
                  decode_gossip_reply(object{{"grant", true}, {"need", 1}, {"cells", 1}, {"due", deadlines}}));
   }
 }
-TEST(session_codec, each_operation_is_found_by_its_name) {
+TEST(session_codec, every_operation_is_found_by_its_name) {
   for (const auto* name :
        {"session", "bye", "swap", "deed", "draw", "held", "fresh", "refound", "leave", "voters", "status"}) {
     auto operation = find_control_operation(name);
--- a/src/cluster/session_table.cpp
+++ b/src/cluster/session_table.cpp
@@ -9,25 +9,25 @@
 
 constexpr auto before_all_versions = std::numeric_limits<table_version>::min();
 
-// The rows that changed after version `held` and that `needed` covers.
-auto rows_since(const session_table& table, table_version held, const node_filter& needed)
+// Returns the rows that changed after version `held` and that `filter` covers.
+auto rows_since(const session_table& table, table_version held, const node_filter& filter)
     -> std::vector<node_descriptor> {
   auto out = std::vector<node_descriptor>();
   for (const auto& [name, node] : table.rows) {
     auto is_new = node.version > held;
-    if (is_new && needed.covers(node.kind, node.zone))
+    if (is_new && filter.covers(node.kind, node.zone))
       out.push_back(node);
   }
   return out;
 }
 
-// The tombstones of rows that were removed after version `held` and that `needed` covers.
-auto tombstones_since(const session_table& table, table_version held, const node_filter& needed)
+// Returns the tombstones of rows that were removed after version `held` and that `filter` covers.
+auto tombstones_since(const session_table& table, table_version held, const node_filter& filter)
     -> std::map<std::string, session_tombstone> {
   auto out = std::map<std::string, session_tombstone>();
   for (const auto& [name, tombstone] : table.tombstones) {
     auto is_new = tombstone.version > held;
-    if (is_new && needed.covers(tombstone.kind, tombstone.zone))
+    if (is_new && filter.covers(tombstone.kind, tombstone.zone))
       out[name] = tombstone;
   }
   return out;
@@ -54,7 +54,7 @@
   version = new_version;
   node.version = new_version;
   tombstones.erase(node.name);
-  // A holder that needed the old row may not need the new one: for that holder it is removed.
+  // A holder whose filter covers the old row may not cover the new one. The tombstone removes the row for that holder.
   auto old = rows.find(node.name);
   if (old != rows.end() && (old->second.kind != node.kind || old->second.zone != node.zone))
     tombstones[node.name] = {version, old->second.kind, old->second.zone};
@@ -83,23 +83,23 @@
   }
 }
 
-auto session_table::delta_since(table_version held, const node_filter& needed, bool accepts_deltas, bool always) const
-    -> std::optional<session_table_delta> {
-  auto needs_all_zones = needed.kind.empty() || needed.all_zones;
+auto session_table::delta_since(table_version held, const node_filter& filter, bool accepts_deltas,
+                                bool include_empty) const -> std::optional<session_table_delta> {
+  auto needs_all_zones = filter.kind.empty() || filter.all_zones;
   if (version <= held || (zone_only && needs_all_zones))
     return {};
   auto incremental = accepts_deltas && held > 0 && held >= delta_floor;
   auto delta = session_table_delta();
   delta.version = version;
-  delta.rows = rows_since(*this, incremental ? held : before_all_versions, needed);
+  delta.rows = rows_since(*this, incremental ? held : before_all_versions, filter);
   if (incremental) {
     delta.since = held;
-    delta.removed = tombstones_since(*this, held, needed);
+    delta.removed = tombstones_since(*this, held, filter);
   }
   auto changes_nothing = incremental && delta.rows.empty() && delta.removed.empty();
-  if (changes_nothing && !always)
+  if (changes_nothing && !include_empty)
     return {};
-  auto is_filtered = needed.kind == "forager" && !needed.all_zones;
+  auto is_filtered = filter.kind == "forager" && !filter.all_zones;
   delta.zone_only = zone_only || is_filtered;
   return delta;
 }
@@ -111,7 +111,7 @@
     return false;
   auto starts_later = delta.since && *delta.since > version;
   if (starts_later)
-    return false;  // what lies between is not known here
+    return false;  // the changes between `version` and `since` are missing
   auto replaces_all = !delta.since;
   auto changed = replaces_all || !delta.removed.empty() || !delta.rows.empty();
   if (replaces_all) {
@@ -129,9 +129,9 @@
   return changed;
 }
 
-auto session_table::changes_since(table_version held, const node_filter& needed, bool accepts_deltas, bool always) const
-    -> value {
-  auto delta = delta_since(held, needed, accepts_deltas, always);
+auto session_table::changes_since(table_version held, const node_filter& filter, bool accepts_deltas,
+                                  bool include_empty) const -> value {
+  auto delta = delta_since(held, filter, accepts_deltas, include_empty);
   return delta ? value(encode(*delta)) : value();
 }
 
--- a/src/cluster/session_table.hpp
+++ b/src/cluster/session_table.hpp
@@ -1,4 +1,5 @@
-// The nodes that have a session with one control node, and how copies of that table are kept up to date (design 5.2).
+// The table of the nodes that have a session with one control node, and the deltas that keep copies of the table up to
+// date (design 5.2).
 #pragma once
 #include <cstddef>
 #include <map>
@@ -10,51 +11,53 @@
 
 namespace reachridge {
 
-// A row that was removed, kept for the holders of older copies.
+// Records the removal of a row, so that deltas can report it to holders of older copies.
 struct session_tombstone {
-  table_version version = 0;  // at which the row was removed
-  std::string kind;           // of the node
+  table_version version = 0;  // table version of the removal
+  std::string kind;           // kind of the removed node
   std::string zone;
 };
 
-// What the holder of an older copy lacks, without what it does not need.
+// The changes that bring an older copy up to date, limited to the nodes that its holder needs.
 struct session_table_delta {
-  table_version version = 0;           // of the table that it leads to
-  std::optional<table_version> since;  // the version that it adds to; none: it replaces the whole table
+  table_version version = 0;           // table version after the changes
+  std::optional<table_version> since;  // version before the changes; absent: replaces the whole table
   std::vector<node_descriptor> rows;
-  std::map<std::string, session_tombstone> removed;  // by name of the node
-  bool zone_only = false;                            // it lacks the gateways of other zones
+  std::map<std::string, session_tombstone> removed;  // keyed by node name
+  bool zone_only = false;                            // gateways of other zones are left out
 };
 auto encode(const session_table_delta& delta) -> object;
-// Throws decode_error for what is no such message.
+// Throws decode_error if the message is malformed.
 auto decode_session_table_delta(const value& encoded) -> session_table_delta;
 
-// The sessions of one control node. It alone changes the rows and counts the version up; others hold copies, which
-// `apply` brings up to date. Invariant: no version of a row or tombstone is above the table's.
+// The sessions of one control node. Only that control node calls `upsert` and `remove`; all other nodes hold copies,
+// which they update with `apply`. Invariant: no row or tombstone has a higher version than the table.
 struct session_table {
   static constexpr auto max_tombstones = std::size_t{256};
 
   table_version version = 0;
-  std::map<std::string, node_descriptor> rows;  // by name of the node
+  std::map<std::string, node_descriptor> rows;  // keyed by node name
   std::map<std::string, session_tombstone> tombstones;
-  table_version delta_floor = 0;  // a tombstone that the holder of an older version needs may be lacking
-  bool zone_only = false;         // the gateways of other zones are not in this copy
+  table_version delta_floor = 0;  // deltas from older versions are impossible: their tombstones may have been dropped
+  bool zone_only = false;         // this copy lacks the gateways of other zones
 
-  // Changes by the control node whose table this is. `new_version` is above all earlier ones.
+  // Adds, replaces or removes a row. For the control node that owns the table; `new_version` must exceed all earlier
+  // versions.
   auto upsert(node_descriptor node, table_version new_version) -> void;
   auto remove(const std::string& name, table_version new_version) -> void;
 
-  // What a holder of version `held` lacks of what it needs. `takes_deltas`: the holder knows deltas; it gets the whole
-  // table if it does not, or if its version is too old for one. None if nothing that it needs has changed, unless
-  // `always`: then at least the version.
-  [[nodiscard]] auto delta_since(table_version held, const node_filter& needed, bool accepts_deltas, bool always) const
-      -> std::optional<session_table_delta>;
-  // Brings this copy up to date; an older delta changes nothing. Returns whether a row changed.
+  // Returns the changes since version `held` that `filter` covers. The delta contains the whole table if the holder
+  // does not accept deltas or if `held` is too old. Returns nullopt if no covered row has changed; with `include_empty`
+  // a delta that only raises the version is returned instead.
+  [[nodiscard]] auto delta_since(table_version held, const node_filter& filter, bool accepts_deltas,
+                                 bool include_empty) const -> std::optional<session_table_delta>;
+  // Applies a delta to this copy. Ignores a delta that is older than the copy, or that starts from a newer version.
+  // Returns whether a row may have changed.
   auto apply(session_table_delta delta) -> bool;
 
-  // The same in their encoded form; null: none.
-  [[nodiscard]] auto changes_since(table_version held, const node_filter& needed, bool accepts_deltas,
-                                   bool always) const -> value;
+  // The following functions do the same with encoded deltas. A null value stands for nullopt.
+  [[nodiscard]] auto changes_since(table_version held, const node_filter& filter, bool accepts_deltas,
+                                   bool include_empty) const -> value;
   auto merge(const value& encoded) -> bool;
 
  private:
--- a/src/cluster/types.hpp
+++ b/src/cluster/types.hpp
@@ -1,5 +1,5 @@
-// What the members of a deployment know of each other: nodes, which of them hold a partition, and drains (design 5).
-// codec.cpp has their encoded form.
+// Nodes, partition assignments and drains, as all nodes of a cluster know them (design 5). codec.cpp encodes and
+// decodes these types.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -11,74 +11,76 @@
 
 namespace reachridge {
 
-// Counts the assignments of a partition; each one that is committed raises it by one.
+// The number of a partition's assignment. Each committed assignment increments it by one.
 using epoch_number = std::int64_t;
-// Orders the changes of one table, whose source alone counts it up.
+// The version of a session table. Only the control node that owns the table increments it.
 using table_version = std::int64_t;
 
-// Members. A member is "name/disk": a node whose disk was lost comes back as another member.
+// A member is a node together with its disk, written "name/disk". A node that returns with a new disk after a disk loss
+// is a different member. make_member_id returns the member for a disk of a node, node_of_member the node of a member.
 auto make_member_id(const std::string& node, const std::string& disk_id) -> std::string;
 auto node_of_member(const std::string& member) -> std::string;
 
-// The key of a whole zone among the drains. No node's name contains a ':', so it can't be taken for a node's.
+// Returns the key of a zone in a map of drains. Node names contain no ':', so the key differs from every node name.
 auto zone_key(const std::string& zone) -> std::string;
-// The zone of such a key; empty: the key is the name of a node.
+// Returns the zone of a key made by zone_key, or an empty string if the key is a node name.
 auto zone_of_key(const std::string& key) -> std::string;
 
-// Which pool a partition "pool/number" belongs to.
+// Returns the pool of a partition, whose id has the form "pool/number".
 auto pool_of_partition(const std::string& partition_id) -> std::string;
 
-// Which members hold a partition, as the control nodes have committed it. Epoch 0: not assigned yet.
+// The committed assignment of a partition to members. Epoch 0 means that the partition is not assigned yet.
 struct partition_assignment {
   epoch_number epoch = 0;
-  epoch_number recreated_epoch = 0;  // at which the partition was last recreated empty; 0: never
+  epoch_number recreated_epoch = 0;  // epoch in which the partition was last recreated empty; 0: never
   std::string primary;
-  std::vector<std::string> in_sync_replicas;  // the primary and its backups; each of them may take over
-  log_index committed_index = 0;              // of the entry that committed it
-  std::string reason;                         // for people who read logs
+  std::vector<std::string> in_sync_replicas;  // the primary and the backups that may take over
+  log_index committed_index = 0;              // log index of the entry with this assignment
+  std::string reason;                         // informational, for logs
 
   [[nodiscard]] auto to_value() const -> value;
   static auto from_value(const value& encoded) -> partition_assignment;
-  // The replicas in sync without the primary.
+  // Returns the in-sync replicas except the primary.
   [[nodiscard]] auto backups() const -> std::vector<std::string>;
+  // Returns whether the member is the primary or an in-sync replica.
   [[nodiscard]] auto has_member(const std::string& member) const -> bool;
   [[nodiscard]] auto is_in_sync(const std::string& member) const -> bool;
-  // Whether a replica in sync, on whatever disk, is on this node.
+  // Returns whether any in-sync replica is on the node, on any of its disks.
   [[nodiscard]] auto has_in_sync_replica_on(const std::string& node) const -> bool;
 };
 
-// What is to become of a node, or a zone, that partitions move away from.
+// Why partitions move away from a node or a zone.
 enum class drain_kind {
-  drain,     // a node, for a while
-  evacuate,  // a node or a zone, for a while; the only kind for a zone
-  retire     // a node, for good
+  drain,     // temporary drain of a node
+  evacuate,  // temporary drain of a node or a zone; the only kind for a zone
+  retire     // permanent removal of a node
 };
 [[nodiscard]] auto to_string(drain_kind kind) -> std::string_view;
-// Throws decode_error for a text that names no kind.
+// Throws decode_error if the text is not the name of a kind.
 [[nodiscard]] auto parse_drain_kind(std::string_view text) -> drain_kind;
 
-// A node or a zone that is to hold no partitions.
+// The drain of a node or a zone: all partitions must move away.
 struct drain {
   drain_kind kind = drain_kind::drain;
-  bool completed = false;         // the node holds nothing any more; never set for a zone
-  log_index committed_index = 0;  // of the entry that began it
+  bool completed = false;         // the node holds no partitions any more; never set for a zone
+  log_index committed_index = 0;  // log index of the entry that started the drain
 
   [[nodiscard]] auto to_value() const -> value;
   static auto from_value(const value& encoded) -> drain;
 };
 
-// A node that has a session with a control node.
+// Describes a node that has a session with a control node.
 struct node_descriptor {
   std::string name;
-  std::string kind;  // of the node: control, storage node, gateway, agent
+  std::string kind;  // one of the values in node_kind.hpp
   std::string zone;
   std::string address;
   std::string http_address;
-  std::string disk_id;        // empty: it stores nothing
-  bool ready = false;         // it serves
-  bool stopping = false;      // it is shutting down
-  std::int64_t load = 0;      // as it reported it last
-  table_version version = 0;  // of its table when this row last changed; not part of the encoded descriptor
+  std::string disk_id;        // empty if the node has no storage
+  bool ready = false;         // the node serves requests
+  bool stopping = false;      // the node is shutting down
+  std::int64_t load = 0;      // the load that the node reported last
+  table_version version = 0;  // table version of the last change of this row; not encoded by to_value
 
   [[nodiscard]] auto to_value() const -> value;
   static auto from_value(const value& encoded) -> node_descriptor;
@@ -87,13 +89,15 @@
   }
 };
 
-// Which nodes a node has to know. A storage node needs the storage nodes; a gateway also the gateways that it may
-// redirect its clients to: those of its own zone, or of all zones. Without a kind all nodes are needed.
+// Describes which other nodes a node needs to know. A storage node needs all storage nodes. A gateway also needs the
+// gateways to which it may redirect clients: those of its own zone or, with `all_zones`, of all zones. An empty kind
+// selects all nodes.
 struct node_filter {
   std::string kind;
   std::string zone;
   bool all_zones = false;
 
+  // Returns whether a node of this kind in this zone is needed.
   [[nodiscard]] auto covers(const std::string& node_kind, const std::string& node_zone) const -> bool;
   [[nodiscard]] auto to_value() const -> value;
   static auto from_value(const value& encoded) -> node_filter;
--- a/src/cluster/version_deadlines.cpp
+++ b/src/cluster/version_deadlines.cpp
@@ -7,9 +7,9 @@
 auto version_deadlines::add(configuration_version version, monotonic_time due) -> void {
   auto later = by_due_.upper_bound(due);
   if (later != by_due_.begin() && std::prev(later)->second >= version)
-    return;  // implied
+    return;  // implied by the existing entry
   by_due_[due] = version;
-  // Older versions that are due later are implied now.
+  // The new entry implies older versions that are due later.
   later = by_due_.upper_bound(due);
   while (later != by_due_.end() && later->second <= version)
     later = by_due_.erase(later);
--- a/src/cluster/version_deadlines.hpp
+++ b/src/cluster/version_deadlines.hpp
@@ -1,4 +1,4 @@
-// By when versions of the configuration must be in force (design 5.3).
+// The deadlines by which configuration versions must be in force (design 5.3).
 #pragma once
 #include <cstdint>
 #include <map>
@@ -8,33 +8,34 @@
 
 namespace reachridge {
 
-// The number of a configuration: each that is accepted has a greater one. 0: none.
+// The number of a configuration. Each accepted configuration has a greater number than all before it. 0: none.
 using configuration_version = std::int64_t;
 
-// A version that must be in force soon, as it travels between processes, whose clocks differ.
+// A version with the time left until its deadline. Messages carry the time left because the clocks of processes differ.
 struct pending_version {
   configuration_version version = 0;
-  monotonic_time time_left = 0;  // in microseconds, from a moment that sender and receiver agree on
+  monotonic_time time_left = 0;  // in microseconds, counted from a moment that the protocol defines
 
   auto operator==(const pending_version&) const -> bool = default;
 };
 
-// Versions with the moment by which each must be in force. A version is implied by a newer one that is due no later,
-// so versions rise with their moments. Moments are of this process's clock; between processes they travel as the time
-// that is left, which the receiver counts from when it sent its request: never later than the sender meant.
+// A set of versions with the deadline of each, on the clock of this process. A newer version with the same or an
+// earlier deadline implies an older version, so the versions increase with their deadlines. Messages carry the time
+// left, which the receiver counts from the moment when it sent its request. Its deadline is therefore never later than
+// the sender's.
 class version_deadlines {
  public:
-  // `version` must be in force at `due` and from then on.
+  // Requires `version`, or a newer one, to be in force from `due` on.
   auto add(configuration_version version, monotonic_time due) -> void;
-  // The newest version that must be in force at `now`; 0 if none.
+  // Returns the newest version that must be in force at `now`, or 0 if there is none.
   [[nodiscard]] auto required(monotonic_time now) const -> configuration_version;
-  // The versions due after `now`, the earliest first, with the time left counted from `since`.
+  // Returns the versions due after `now`, ordered by deadline. The time left is counted from `since`.
   [[nodiscard]] auto pending(monotonic_time now, monotonic_time since) const -> std::vector<pending_version>;
-  // Adds such a list; its times count from `since`.
+  // Adds the versions of a list made by `pending`. The time left is counted from `since`.
   auto merge(const std::vector<pending_version>& versions, monotonic_time since) -> void;
-  // Forgets moments that have passed but for the newest version among them.
+  // Removes the deadlines that have passed, except the latest of them.
   auto prune(monotonic_time now) -> void;
-  // How many moments are kept.
+  // Returns the number of deadlines.
   [[nodiscard]] auto size() const -> std::size_t {
     return by_due_.size();
   }
--- a/src/cluster/view_codec.cpp
+++ b/src/cluster/view_codec.cpp
@@ -1,5 +1,5 @@
-// Version vectors, deltas of views and of session tables as values, and back. No other file knows the names of their
-// fields.
+// Encodes and decodes version vectors and the deltas of views and session tables. Their field names appear in no other
+// file.
 #include "cluster/cluster_view.hpp"
 
 namespace reachridge {
@@ -15,7 +15,7 @@
 
 auto encode_partitions(const partitions_delta& delta) -> object {
   auto rows = object();
-  for (const auto& [id, assignment] : delta.rows)
+  for (const auto& [id, assignment] : delta.assignments)
     rows[id] = assignment.to_value();
   auto drains = object();
   for (const auto& [name, drain] : delta.drains)
@@ -27,13 +27,13 @@
   auto delta = partitions_delta();
   delta.version = get_int(encoded, "ver");
   for (const auto& field : get_value(encoded, "rows").as_object())
-    delta.rows[std::string(field.key())] = partition_assignment::from_value(field.value());
+    delta.assignments[std::string(field.key())] = partition_assignment::from_value(field.value());
   for (const auto& field : get_value(encoded, "leavings").as_object())
     delta.drains[std::string(field.key())] = drain::from_value(field.value());
   return delta;
 }
 
-// Null: the message brings none.
+// Returns null if the message contains no configuration.
 auto decode_configuration(const value& encoded) -> configuration_ptr {
   if (const auto& packed = get_value(encoded, "packed"); packed.is_string())
     return configuration_record::from_received(get_value(encoded, "head"), std::string(packed.get_string()));
@@ -95,8 +95,8 @@
   for (const auto& [source, version] : versions.tables)
     tables[source] = version;
   auto out = object{{"charter", versions.configuration_number}, {"cells", versions.partitions}, {"tables", tables}};
-  if (versions.needed)
-    out["need"] = versions.needed->to_value();
+  if (versions.filter)
+    out["need"] = versions.filter->to_value();
   return out;
 }
 
@@ -108,8 +108,8 @@
   if (tables.is_object())
     for (const auto& field : tables.get_object())
       out.tables[std::string(field.key())] = field.value().is_int64() ? field.value().get_int64() : 0;
-  if (const auto& needed = get_value(encoded, "need"); needed.is_object())
-    out.needed = node_filter::from_value(needed);
+  if (const auto& filter = get_value(encoded, "need"); filter.is_object())
+    out.filter = node_filter::from_value(filter);
   return out;
 }
 
