--- a/src/cluster/view_codec.cpp
+++ b/src/cluster/view_codec.cpp
@@ -116,7 +116,7 @@
 auto encode(const view_delta& delta) -> object {
   auto out = object();
   if (delta.configuration && delta.packed) {
-    out["packed"] = delta.configuration->rules();
+    out["packed"] = delta.configuration->deflated_rules();
     out["head"] = delta.configuration->head();
   } else if (delta.configuration) {
     out["charter"] = delta.configuration->body();
--- a/src/configuration/compiled_configuration.cpp
+++ b/src/configuration/compiled_configuration.cpp
@@ -7,12 +7,12 @@
 namespace reachridge {
 namespace {
 
-// Routes and decisions pass always.
-auto passes(const rule_step& step, action asked, const std::string& caller, const std::string& topic, std::size_t bytes)
-    -> bool {
+// Returns whether a request passes the test in `step`. Routes and decisions are no tests and always pass.
+auto passes(const rule_step& step, action requested, const std::string& caller, const std::string& topic,
+            std::size_t bytes) -> bool {
   switch (step.kind) {
     case rule_step::kind::action:
-      return (step.number & static_cast<std::int64_t>(asked)) != 0;
+      return (step.number & static_cast<std::int64_t>(requested)) != 0;
     case rule_step::kind::topic:
       return matches(step.pattern, topic);
     case rule_step::kind::caller:
@@ -24,8 +24,8 @@
   }
 }
 
-// The topic behind a route; the topic itself where the route is for others. What the '*' at the end of the pattern
-// matched replaces the '*' at the end of the target.
+// Returns the topic that a route leads to, or the unchanged topic if the route does not match. The text matched by the
+// '*' at the end of the pattern replaces the '*' at the end of the target.
 auto follow_route(const rule_step& route, const std::string& topic) -> std::string {
   if (!matches(route.pattern, topic))
     return topic;
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-auto compiled_configuration::decide(action asked, const std::string& caller, const std::string& topic,
+auto compiled_configuration::decide(action requested, const std::string& caller, const std::string& topic,
                                     std::size_t bytes) const -> rule_decision {
   auto decision = rule_decision{false, topic, "no rule allows it"};
   for (auto i = std::size_t{0}; i < rules.size();) {
@@ -52,7 +52,7 @@
     }
     if (step.kind == rule_step::kind::route)
       decision.topic = follow_route(step, decision.topic);
-    i = passes(step, asked, caller, decision.topic, bytes) ? i + 1 : step.next_on_mismatch;
+    i = passes(step, requested, caller, decision.topic, bytes) ? i + 1 : step.next_on_mismatch;
   }
   return decision;
 }
@@ -61,13 +61,13 @@
   pools.clear();
   prefixes_.clear();
   auto lengths = std::set<std::size_t, std::greater<>>();
-  for (const auto& [name, one] : spaces) {
-    auto& shared = pools[one.pool];
-    shared.partitions = one.partitions;
-    shared.keep_ms = std::max(shared.keep_ms, one.keep_ms);
-    shared.urgency = std::max(shared.urgency, one.urgency);
-    prefixes_[one.prefix] = name;
-    lengths.insert(one.prefix.size());
+  for (const auto& [name, current] : spaces) {
+    auto& shared_pool = pools[current.pool];
+    shared_pool.partitions = current.partitions;
+    shared_pool.keep_ms = std::max(shared_pool.keep_ms, current.keep_ms);
+    shared_pool.urgency = std::max(shared_pool.urgency, current.urgency);
+    prefixes_[current.prefix] = name;
+    lengths.insert(current.prefix.size());
   }
   prefix_lengths_.assign(lengths.begin(), lengths.end());
 }
--- a/src/configuration/compiled_configuration.hpp
+++ b/src/configuration/compiled_configuration.hpp
@@ -1,4 +1,4 @@
-// A configuration that was checked and compiled as a whole, and the decisions by its rules (design 7.1).
+// A checked and compiled configuration, and the evaluation of its rules (design 7.1).
 #pragma once
 #include <map>
 #include <memory>
@@ -11,33 +11,35 @@
 
 namespace reachridge {
 
-// Filled by `compile_configuration` and not changed afterwards.
+// Created by `compile_configuration` and immutable afterwards.
 class compiled_configuration {
  public:
   std::int64_t number = 0;
-  std::int64_t after = -1;  // the number that it is meant to follow; -1: any
+  std::int64_t after = -1;  // the number of the configuration that this one must follow; -1: any
   std::map<std::string, space> spaces;
   std::map<std::string, pool> pools;
   std::vector<rule_step> rules;
-  std::int64_t subscriptions = 1000;  // the most topics that one connection may hold
-  std::string origin;                 // the text this was translated from, if any
-  std::string body;                   // as the operator sent it
+  std::int64_t subscriptions = 1000;  // maximum number of topics that one connection may subscribe to
+  std::string origin;                 // the text that this configuration was translated from; may be empty
+  std::string body;                   // the text as the operator sent it
 
-  // Interprets the rules: the first that allows or denies decides, and nothing that no rule allows is allowed.
-  [[nodiscard]] auto decide(action asked, const std::string& caller, const std::string& topic, std::size_t bytes) const
-      -> rule_decision;
-  // The space whose prefix is the longest that begins the topic; null: none.
+  // Evaluates the rules for a request of `caller` with `bytes` bytes. The first matching allow or deny rule decides. A
+  // request that no rule matches is denied.
+  [[nodiscard]] auto decide(action requested, const std::string& caller, const std::string& topic,
+                            std::size_t bytes) const -> rule_decision;
+  // Returns the space with the longest prefix of the topic, or null if no space has a matching prefix.
   [[nodiscard]] auto space_of(std::string_view topic) const -> const space*;
-  // To be called once `spaces` is filled: derives pools and prefixes.
+  // Derives `pools` and the prefix index from `spaces`. Called once by the compiler.
   auto index() -> void;
 
  private:
-  std::vector<std::size_t> prefix_lengths_;                   // of all prefixes, the longest first
-  std::map<std::string, std::string, std::less<>> prefixes_;  // prefix -> name of its space
+  std::vector<std::size_t> prefix_lengths_;                   // distinct lengths of all prefixes, in descending order
+  std::map<std::string, std::string, std::less<>> prefixes_;  // space names keyed by prefix
 };
 using compiled_configuration_ptr = std::shared_ptr<const compiled_configuration>;
 
-// Checks and compiles the whole; throws request_error (`invalid_configuration`) that names every fault found.
+// Checks and compiles the JSON text of a configuration. Throws request_error (errc::invalid_configuration) that lists
+// all errors found.
 auto compile_configuration(const std::string& body) -> compiled_configuration_ptr;
 
 }  // namespace reachridge
--- a/src/configuration/compiled_configuration_test.cpp
+++ b/src/configuration/compiled_configuration_test.cpp
@@ -2,12 +2,12 @@
 
 #include "runtime/request_error.hpp"
 
-// After all others: it redefines new.
+// Must be the last include: CppUTest redefines operator new.
 #include <CppUTest/TestHarness.h>
 
 namespace {
-// The message that names all faults of a configuration.
-auto faults_of(const std::string& body) -> std::string {
+// Returns the message that lists all errors of a configuration, or "none".
+auto errors_of(const std::string& body) -> std::string {
   try {
     reachridge::compile_configuration(body);
     return "none";
@@ -18,7 +18,7 @@
 }  // namespace
 TEST_GROUP(configuration_rules){};
 
-TEST(configuration_rules, first_match_decides) {
+TEST(configuration_rules, the_first_matching_rule_decides) {
   auto configuration =
       reachridge::compile_configuration(R"({"number":1,"spaces":[{"name":"a","keep_s":35},{"name":"b","keep_s":0}],
     "rules":["deny publish on a/secret/* for guest-*","route old/* to b/*","allow publish, subscribe on a/*","allow publish on b/* under 10"]})");
@@ -32,22 +32,22 @@
   CHECK_FALSE(configuration->decide(reachridge::action::publish, "k", "old/x", 10).allowed);
 }
 
-TEST(configuration_rules, faults_name_place_and_reason) {
-  STRCMP_EQUAL("none", faults_of(R"({"number":1,"spaces":[]})").c_str());
-  STRCMP_CONTAINS("number: is repeated", faults_of(R"({"number":1,"number":2,"spaces":[]})").c_str());
-  STRCMP_CONTAINS("shape: is no key", faults_of(R"({"number":1,"shape":2,"spaces":[]})").c_str());
-  STRCMP_CONTAINS("number: wants a whole number", faults_of(R"({"number":"1","spaces":[]})").c_str());
+TEST(configuration_rules, errors_name_the_place_and_the_reason) {
+  STRCMP_EQUAL("none", errors_of(R"({"number":1,"spaces":[]})").c_str());
+  STRCMP_CONTAINS("number: is repeated", errors_of(R"({"number":1,"number":2,"spaces":[]})").c_str());
+  STRCMP_CONTAINS("shape: is no key", errors_of(R"({"number":1,"shape":2,"spaces":[]})").c_str());
+  STRCMP_CONTAINS("number: wants a whole number", errors_of(R"({"number":"1","spaces":[]})").c_str());
   STRCMP_CONTAINS("spaces[0].keep_s: 9999999 is outside",
-                  faults_of(R"({"number":1,"spaces":[{"name":"a","keep_s":9999999}]})").c_str());
+                  errors_of(R"({"number":1,"spaces":[{"name":"a","keep_s":9999999}]})").c_str());
   STRCMP_CONTAINS("rules[0]: column 7: 'shout' is no act",
-                  faults_of(R"({"number":1,"spaces":[],"rules":["allow shout on *"]})").c_str());
-  STRCMP_CONTAINS("no space 'c'", faults_of(R"({"number":1,"spaces":[],"rules":["route a/* to c/*"]})").c_str());
-  STRCMP_CONTAINS("line 1", faults_of("{").c_str());
+                  errors_of(R"({"number":1,"spaces":[],"rules":["allow shout on *"]})").c_str());
+  STRCMP_CONTAINS("no space 'c'", errors_of(R"({"number":1,"spaces":[],"rules":["route a/* to c/*"]})").c_str());
+  STRCMP_CONTAINS("line 1", errors_of("{").c_str());
 }
 
 TEST_GROUP(configuration_spaces){};
 
-TEST(configuration_spaces, the_longest_prefix_holds_a_topic) {
+TEST(configuration_spaces, a_topic_belongs_to_the_space_with_the_longest_prefix) {
   auto configuration = reachridge::compile_configuration(
       R"({"number":1,"spaces":[{"name":"a","prefix":"kafi810.","pool":"kept","keep_ms":35000,"cells":8},
       {"name":"b","prefix":"kafi810.2","pool":"live","keep_ms":0,"cells":2},{"name":"c","prefix":"k","pool":"kept","keep_ms":1500,"cells":8,"urgency":3},
@@ -63,14 +63,14 @@
   LONGS_EQUAL(35000, configuration->pools.at("kept").keep_ms);
   LONGS_EQUAL(3, configuration->pools.at("kept").urgency);
   LONGS_EQUAL(0, configuration->pools.at("live").keep_ms);
-  // A topic of one pool stays in its partition whichever space of it holds the topic.
+  // The partition of a topic is the same for all spaces of a pool.
   STRCMP_EQUAL(reachridge::partition_of(configuration->spaces.at("a"), "kafi810.1f").c_str(),
                reachridge::partition_of(configuration->spaces.at("c"), "kafi810.1f").c_str());
 }
 
-TEST(configuration_spaces, faults_of_spaces_are_named) {
+TEST(configuration_spaces, errors_in_spaces_name_the_field) {
   auto with = [](const std::string& more) {
-    return faults_of(R"({"number":1,"spaces":[{"name":"a","keep_s":1},)" + more + "]}");
+    return errors_of(R"({"number":1,"spaces":[{"name":"a","keep_s":1},)" + more + "]}");
   };
   STRCMP_EQUAL("none", with(R"({"name":"b","keep_s":1})").c_str());
   STRCMP_CONTAINS("spaces[1].prefix: 'a/' is the prefix of two",
@@ -82,14 +82,15 @@
   STRCMP_CONTAINS("spaces[1].keep_s: is missing", with(R"({"name":"b"})").c_str());
   STRCMP_CONTAINS("spaces[1].order: 'odd'", with(R"({"name":"b","keep_s":1,"order":"odd"})").c_str());
   STRCMP_CONTAINS("spaces[1].timeout_ms: -1 is outside", with(R"({"name":"b","keep_s":1,"timeout_ms":-1})").c_str());
-  STRCMP_CONTAINS("origin: wants a string", faults_of(R"({"number":1,"spaces":[],"origin":1})").c_str());
-  STRCMP_CONTAINS("subscriptions: 0 is outside", faults_of(R"({"number":1,"spaces":[],"subscriptions":0})").c_str());
+  STRCMP_CONTAINS("origin: wants a string", errors_of(R"({"number":1,"spaces":[],"origin":1})").c_str());
+  STRCMP_CONTAINS("subscriptions: 0 is outside", errors_of(R"({"number":1,"spaces":[],"subscriptions":0})").c_str());
 }
 
-// The list that counts is the last one, while the property tree is searched for repeated keys from the first one on.
-TEST(configuration_spaces, a_repeated_list_of_spaces_is_a_fault_however_long) {
+// For a repeated "spaces" key the compiler reads the last list, while Boost.PropertyTree finds the first one, which
+// may be shorter. The compiler must not read beyond its end.
+TEST(configuration_spaces, a_repeated_list_of_spaces_of_any_length_is_an_error) {
   const auto spaces = std::string(R"([{"name":"a","keep_s":1},{"name":"b","keep_s":1}])");
   for (const auto& first : {std::string("[]"), std::string("3"), std::string(R"([{"name":"a","keep_s":1}])"), spaces})
     STRCMP_EQUAL("spaces: is repeated",
-                 faults_of(R"({"number":1,"spaces":)" + first + R"(,"spaces":)" + spaces + "}").c_str());
+                 errors_of(R"({"number":1,"spaces":)" + first + R"(,"spaces":)" + spaces + "}").c_str());
 }
--- a/src/configuration/configuration_compiler.cpp
+++ b/src/configuration/configuration_compiler.cpp
@@ -1,4 +1,4 @@
-// Reads, checks and compiles the text of a configuration (design 7.1).
+// Parses, checks and compiles the JSON text of a configuration (design 7.1).
 #include <algorithm>
 #include <boost/property_tree/json_parser.hpp>
 #include <boost/property_tree/ptree.hpp>
@@ -34,7 +34,7 @@
 constexpr auto partitions_range = integer_range{1, 64};
 constexpr auto timeout_range = integer_range{0, max_timeout_ms};
 
-constexpr auto any = std::int64_t{-1};
+constexpr auto any_predecessor = std::int64_t{-1};
 constexpr auto default_subscriptions = std::int64_t{1000};
 constexpr auto default_partitions = std::int64_t{4};
 constexpr auto default_rule = "allow all on *";
@@ -52,8 +52,8 @@
   return names;
 }
 
-// Names of spaces and pools.
-auto is_name(const std::string& text) -> bool {
+// Returns whether the text is a valid name of a space or a pool.
+auto is_valid_name(const std::string& text) -> bool {
   if (text.empty() || text.size() > max_name_bytes)
     return false;
   return std::all_of(text.begin(), text.end(), [](char character) {
@@ -62,45 +62,46 @@
   });
 }
 
-// The text as parsed. The property tree, many times slower, is made only where it has a fault to name: the line of a
-// syntax error, a repeated key.
+// The parsed text. Boost.PropertyTree parses many times slower than Boost.JSON, so `with_repeated_keys` is filled only
+// when it is needed to report an error: the line of a syntax error or a repeated key.
 struct document {
   value root;
-  std::optional<ptree> with_repeats;
+  std::optional<ptree> with_repeated_keys;
 };
 
-auto parse_with_repeats(const std::string& body) -> ptree {
+auto parse_with_repeated_keys(const std::string& body) -> ptree {
   auto out = ptree();
   auto in = std::istringstream(body);
   boost::property_tree::read_json(in, out);
   return out;
 }
 
-auto parse_document(const std::string& body, configuration_errors& faults) -> document {
+auto parse_document(const std::string& body, configuration_errors& errors) -> document {
   auto out = document();
   auto error = boost::json::error_code();
   out.root = boost::json::parse(body, error);
   try {
     if (error.failed() || has_repeated_keys(body, out.root))
-      out.with_repeats = parse_with_repeats(body);
+      out.with_repeated_keys = parse_with_repeated_keys(body);
     if (error)
-      faults.add("charter", error.message());
+      errors.add("charter", error.message());
   } catch (const boost::property_tree::json_parser_error& thrown) {
-    faults.add("line " + std::to_string(thrown.line()), thrown.message());
+    errors.add("line " + std::to_string(thrown.line()), thrown.message());
   }
-  if (faults.empty() && !out.root.is_object())
-    faults.add("charter", "is no JSON object");
+  if (errors.empty() && !out.root.is_object())
+    errors.add("charter", "is no JSON object");
   return out;
 }
 
-// Compiles a document whose root is an object. Each step notes its faults and goes on, so that all are named at once.
+// Compiles a document whose root is an object. Each step records its errors and continues, so that all errors are
+// reported at once.
 class configuration_compiler {
  public:
-  configuration_compiler(const document& read, compiled_configuration& out, configuration_errors& faults)
-      : document_(read), out_(out), faults_(faults) {}
+  configuration_compiler(const document& parsed, compiled_configuration& out, configuration_errors& errors)
+      : document_(parsed), out_(out), errors_(errors) {}
 
   auto compile() -> void {
-    compile_head();
+    compile_top_level_fields();
     compile_spaces();
     out_.index();
     compile_rules(read_rules());
@@ -108,86 +109,88 @@
   }
 
  private:
-  auto compile_head() -> void {
-    const auto* repeats = document_.with_repeats ? &*document_.with_repeats : nullptr;
-    auto fields = field_reader(document_.root, repeats, "", faults_);
+  auto compile_top_level_fields() -> void {
+    const auto* with_repeated_keys = document_.with_repeated_keys ? &*document_.with_repeated_keys : nullptr;
+    auto fields = field_reader(document_.root, with_repeated_keys, "", errors_);
     fields.check_keys(configuration_fields());
-    out_.number = fields.required_integer("number", number_range);
-    out_.after = fields.integer("after", after_range, any);
-    out_.subscriptions = fields.integer("subscriptions", subscriptions_range, default_subscriptions);
+    out_.number = fields.read_required_integer("number", number_range);
+    out_.after = fields.read_integer("after", after_range, any_predecessor);
+    out_.subscriptions = fields.read_integer("subscriptions", subscriptions_range, default_subscriptions);
     out_.origin = fields.string("origin", "");
   }
 
   auto compile_spaces() -> void {
     const auto& spaces = get_value(document_.root, "spaces");
     if (!spaces.is_array())
-      return faults_.add("spaces", "wants a list of spaces");
-    // Where "spaces" itself is repeated this is the list that comes first, which may be shorter.
-    static const auto no_list = ptree();
-    const auto& list = document_.with_repeats ? document_.with_repeats->get_child("spaces") : no_list;
-    auto repeats = list.begin();
+      return errors_.add("spaces", "wants a list of spaces");
+    // If the key "spaces" is repeated, get_child returns the first list, which may be shorter than the list in
+    // `spaces`.
+    static const auto no_entries = ptree();
+    const auto& entries = document_.with_repeated_keys ? document_.with_repeated_keys->get_child("spaces") : no_entries;
+    auto next_entry = entries.begin();
     auto position = 0;
     for (const auto& fields : spaces.get_array()) {
       const auto place = "spaces[" + std::to_string(position++) + "].";
-      const auto* with_repeats = repeats != list.end() ? &(repeats++)->second : nullptr;
+      const auto* with_repeated_keys = next_entry != entries.end() ? &(next_entry++)->second : nullptr;
       if (!fields.is_object()) {
-        faults_.add(place, "is no space");
+        errors_.add(place, "is no space");
         continue;
       }
-      auto reader = field_reader(fields, with_repeats, place, faults_);
+      auto reader = field_reader(fields, with_repeated_keys, place, errors_);
       add_space(reader, compile_space(reader));
     }
     if (spaces.get_array().size() > max_spaces)
-      faults_.add("spaces", "more than " + std::to_string(max_spaces));
+      errors_.add("spaces", "more than " + std::to_string(max_spaces));
   }
 
   static auto compile_space(field_reader& fields) -> space {
     fields.check_keys(space_fields());
     auto out = space();
-    compile_names(fields, out);
+    compile_name_fields(fields, out);
     out.keep_ms = compile_keep_ms(fields);
-    out.urgency = fields.integer("urgency", urgency_range, 0);
-    out.partitions = fields.integer("cells", partitions_range, default_partitions);
-    out.timeout_ms = fields.integer("timeout_ms", timeout_range, 0);
-    out.target_ms = fields.integer("aim_ms", timeout_range, 0);
+    out.urgency = fields.read_integer("urgency", urgency_range, 0);
+    out.partitions = fields.read_integer("cells", partitions_range, default_partitions);
+    out.timeout_ms = fields.read_integer("timeout_ms", timeout_range, 0);
+    out.target_ms = fields.read_integer("aim_ms", timeout_range, 0);
     const auto order = fields.string("order", "topic");
     if (order != "topic" && order != "sender")
-      fields.add_fault("order", "'" + order + "' is neither topic nor sender");
+      fields.add_error("order", "'" + order + "' is neither topic nor sender");
     out.by_topic = order != "sender";
     return out;
   }
 
-  static auto compile_names(field_reader& fields, space& out) -> void {
-    const auto name = fields.required_string("name");
-    if (name && !is_name(*name))
-      fields.add_fault("name", invalid_name);
+  static auto compile_name_fields(field_reader& fields, space& out) -> void {
+    const auto name = fields.read_required_string("name");
+    if (name && !is_valid_name(*name))
+      fields.add_error("name", invalid_name);
     out.name = name.value_or("");
     out.prefix = fields.string("prefix", out.name + "/");
     if (!is_topic(out.prefix))
-      fields.add_fault("prefix", "wants 1 to 200 printable characters without a space");
+      fields.add_error("prefix", "wants 1 to 200 printable characters without a space");
     out.pool = fields.string("pool", out.name);
-    if (!is_name(out.pool))
-      fields.add_fault("pool", invalid_name);
+    if (!is_valid_name(out.pool))
+      fields.add_error("pool", invalid_name);
   }
 
-  // Given in milliseconds or in seconds, not both.
+  // The retention is given either in milliseconds or in seconds.
   static auto compile_keep_ms(field_reader& fields) -> std::int64_t {
     if (!fields.has("keep_ms"))
-      return fields.required_integer("keep_s", keep_s_range) * 1000;
+      return fields.read_required_integer("keep_s", keep_s_range) * 1000;
     if (fields.has("keep_s"))
-      fields.add_fault("keep_ms", "stands beside keep_s");
-    return fields.required_integer("keep_ms", keep_ms_range);
+      fields.add_error("keep_ms", "stands beside keep_s");
+    return fields.read_required_integer("keep_ms", keep_ms_range);
   }
 
-  // Checks the space against those before it.
+  // Adds a space after checking it for conflicts with the spaces before it.
   auto add_space(field_reader& fields, const space& added) -> void {
     if (!out_.spaces.emplace(added.name, added).second)
-      fields.add_fault("name", "'" + added.name + "' is the name of two spaces");
+      fields.add_error("name", "'" + added.name + "' is the name of two spaces");
     if (!prefixes_.insert(added.prefix).second)
-      fields.add_fault("prefix", "'" + added.prefix + "' is the prefix of two spaces");
-    const auto of_pool = partitions_of_pools_.emplace(added.pool, added.partitions).first->second;
-    if (of_pool != added.partitions)
-      fields.add_fault("cells", "pool '" + added.pool + "' has " + std::to_string(of_pool) + " in another space");
+      fields.add_error("prefix", "'" + added.prefix + "' is the prefix of two spaces");
+    const auto known_partitions = pool_partitions_.emplace(added.pool, added.partitions).first->second;
+    if (known_partitions != added.partitions)
+      fields.add_error("cells",
+                       "pool '" + added.pool + "' has " + std::to_string(known_partitions) + " in another space");
   }
 
   auto read_rules() -> std::vector<std::string> {
@@ -195,7 +198,7 @@
       return {default_rule};
     const auto& rules = get_value(document_.root, "rules");
     if (!rules.is_array()) {
-      faults_.add("rules", "wants a list of strings");
+      errors_.add("rules", "wants a list of strings");
       return {};
     }
     auto out = std::vector<std::string>();
@@ -205,10 +208,10 @@
       if (rule.is_string())
         out.emplace_back(rule.get_string());
       else
-        faults_.add(place, "wants a string");
+        errors_.add(place, "wants a string");
     }
     if (out.size() > max_rules)
-      faults_.add("rules", "more than " + std::to_string(max_rules));
+      errors_.add("rules", "more than " + std::to_string(max_rules));
     return out;
   }
 
@@ -217,39 +220,40 @@
       try {
         append_rule(rules[i], out_.rules);
       } catch (const rule_syntax_error& error) {
-        faults_.add("rules[" + std::to_string(i) + "]", error.what());
+        errors_.add("rules[" + std::to_string(i) + "]", error.what());
       }
     }
   }
 
-  // Every route has to lead into a space.
+  // Checks that the target of every route lies in a space.
   auto check_routes() -> void {
     for (const auto& step : out_.rules) {
       if (step.kind != rule_step::kind::route)
         continue;
-      const auto stem = step.target.substr(0, step.target.find('*'));
-      if (!out_.space_of(stem))
-        faults_.add("rules", "route to '" + step.target + "': no space '" + stem.substr(0, stem.find('/')) + "'");
+      const auto fixed_prefix = step.target.substr(0, step.target.find('*'));
+      if (!out_.space_of(fixed_prefix))
+        errors_.add("rules", "route to '" + step.target + "': no space '" +
+                                 fixed_prefix.substr(0, fixed_prefix.find('/')) + "'");
     }
   }
 
   const document& document_;
   compiled_configuration& out_;
-  configuration_errors& faults_;
+  configuration_errors& errors_;
   std::set<std::string> prefixes_;
-  std::map<std::string, std::int64_t> partitions_of_pools_;
+  std::map<std::string, std::int64_t> pool_partitions_;
 };
 
 }  // namespace
 
 auto compile_configuration(const std::string& body) -> compiled_configuration_ptr {
   auto out = std::make_shared<compiled_configuration>();
-  auto faults = configuration_errors();
-  const auto read = parse_document(body, faults);
-  if (faults.empty())
-    configuration_compiler(read, *out, faults).compile();
-  if (!faults.empty())
-    throw faults.to_error();
+  auto errors = configuration_errors();
+  const auto parsed = parse_document(body, errors);
+  if (errors.empty())
+    configuration_compiler(parsed, *out, errors).compile();
+  if (!errors.empty())
+    throw errors.to_error();
   out->body = body;
   return out;
 }
--- a/src/configuration/configuration_errors.hpp
+++ b/src/configuration/configuration_errors.hpp
@@ -1,4 +1,4 @@
-// The faults that were found in a configuration, each with its place.
+// The errors that were found in a configuration, each with its place.
 #pragma once
 #include <string>
 #include <vector>
@@ -12,20 +12,20 @@
   std::string message;
 };
 
-// Collects every fault, in the order in which they were found.
+// Collects all errors in the order in which they were found.
 class configuration_errors {
  public:
   auto add(std::string place, std::string message) -> void {
-    faults_.push_back({std::move(place), std::move(message)});
+    errors_.push_back({std::move(place), std::move(message)});
   }
   [[nodiscard]] auto empty() const -> bool {
-    return faults_.empty();
+    return errors_.empty();
   }
-  // Names all faults in its message, and in its details each on its own.
+  // Returns an error whose message lists all errors and whose details contain each error separately.
   [[nodiscard]] auto to_error() const -> request_error;
 
  private:
-  std::vector<configuration_error> faults_;
+  std::vector<configuration_error> errors_;
 };
 
 }  // namespace reachridge
--- a/src/configuration/configuration_record.cpp
+++ b/src/configuration/configuration_record.cpp
@@ -45,8 +45,8 @@
 
 auto pools_to_value(const std::map<std::string, pool>& pools) -> value {
   auto out = object();
-  for (const auto& [name, shared] : pools)
-    out[name] = object{{"cells", shared.partitions}, {"keep_ms", shared.keep_ms}, {"urgency", shared.urgency}};
+  for (const auto& [name, entry] : pools)
+    out[name] = object{{"cells", entry.partitions}, {"keep_ms", entry.keep_ms}, {"urgency", entry.urgency}};
   return out;
 }
 
@@ -55,8 +55,8 @@
     throw decode_error("a configuration without pools");
   auto out = std::map<std::string, pool>();
   for (const auto& entry : stored.get_object()) {
-    const auto& row = entry.value();
-    out[std::string(entry.key())] = {get_int(row, "cells"), get_int(row, "keep_ms"), get_int(row, "urgency")};
+    const auto& fields = entry.value();
+    out[std::string(entry.key())] = {get_int(fields, "cells"), get_int(fields, "keep_ms"), get_int(fields, "urgency")};
   }
   return out;
 }
@@ -69,13 +69,13 @@
   out->after = compiled->after;
   out->pools = compiled->pools;
   if (compiled->origin.empty()) {
-    out->rules_deflated_ = deflate(compiled->body);
+    out->deflated_rules_ = deflate(compiled->body);
     return out;
   }
   auto fields = boost::json::parse(compiled->body);
   fields.as_object().erase("origin");
-  out->rules_deflated_ = deflate(to_json(fields));
-  out->origin_deflated_ = deflate(compiled->origin);
+  out->deflated_rules_ = deflate(to_json(fields));
+  out->deflated_origin_ = deflate(compiled->origin);
   return out;
 }
 
@@ -84,14 +84,14 @@
   out->number = get_int(stored, "number");
   out->after = get_int_or(stored, "after", -1);
   out->pools = pools_from_value(get_value(stored, "pools"));
-  out->rules_deflated_ = get_string(stored, "rules");
-  out->origin_deflated_ = get_string_or(stored, "origin");
+  out->deflated_rules_ = get_string(stored, "rules");
+  out->deflated_origin_ = get_string_or(stored, "origin");
   return out;
 }
 
-auto configuration_record::from_received(const value& head, const std::string& rules) -> pointer {
+auto configuration_record::from_received(const value& head, const std::string& deflated_rules) -> pointer {
   auto out = std::make_shared<configuration_record>();
-  out->rules_deflated_ = rules;
+  out->deflated_rules_ = deflated_rules;
   if (!head.is_object()) {
     out->number = out->compiled()->number;
     out->pools = out->compiled()->pools;
@@ -103,9 +103,9 @@
 }
 
 auto configuration_record::to_value() const -> value {
-  auto out = object{{"number", number}, {"after", after}, {"pools", pools_to_value(pools)}, {"rules", rules_deflated_}};
-  if (!origin_deflated_.empty())
-    out["origin"] = origin_deflated_;
+  auto out = object{{"number", number}, {"after", after}, {"pools", pools_to_value(pools)}, {"rules", deflated_rules_}};
+  if (!deflated_origin_.empty())
+    out["origin"] = deflated_origin_;
   return out;
 }
 
@@ -114,26 +114,26 @@
 }
 
 auto configuration_record::content() const -> value {
-  auto out = boost::json::parse(inflate(rules_deflated_));
-  if (!origin_deflated_.empty())
-    out.as_object()["origin"] = inflate(origin_deflated_);
+  auto out = boost::json::parse(inflate(deflated_rules_));
+  if (!deflated_origin_.empty())
+    out.as_object()["origin"] = inflate(deflated_origin_);
   return out;
 }
 
 auto configuration_record::body() const -> std::string {
-  if (origin_deflated_.empty())
-    return inflate(rules_deflated_);
+  if (deflated_origin_.empty())
+    return inflate(deflated_rules_);
   return to_json(content());
 }
 
 auto configuration_record::compiled() const -> const compiled_configuration_ptr& {
-  if (!compiled_rules_)
-    compiled_rules_ = compile_configuration(inflate(rules_deflated_));
-  return compiled_rules_;
+  if (!compiled_)
+    compiled_ = compile_configuration(inflate(deflated_rules_));
+  return compiled_;
 }
 
 auto configuration_record::same_content(const configuration_record& other) const -> bool {
-  if (rules_deflated_ == other.rules_deflated_ && origin_deflated_ == other.origin_deflated_)
+  if (deflated_rules_ == other.deflated_rules_ && deflated_origin_ == other.deflated_origin_)
     return true;
   return content() == other.content();
 }
--- a/src/configuration/configuration_record.hpp
+++ b/src/configuration/configuration_record.hpp
@@ -1,5 +1,5 @@
-// One version of the configuration as it is stored and sent (design 7.1): a head that every node reads, and the rest
-// deflated.
+// One version of the configuration in the form in which it is stored and sent (design 7.1): a head that every node
+// reads, and the remaining text, which is deflated.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -11,44 +11,45 @@
 
 namespace reachridge {
 
-// A control or storage node needs the number and the pools alone; only a gateway compiles the rules, once for each
-// version that it serves by. Immutable but for that cache.
+// Control and storage nodes need only the number and the pools. Gateways also compile the rules, once for each version.
+// The record is immutable apart from the cached result of that compilation.
 class configuration_record {
  public:
   using pointer = std::shared_ptr<const configuration_record>;
 
-  // From a configuration that was checked and compiled as a whole.
+  // Creates a record of a compiled configuration.
   static auto from_compiled(const compiled_configuration_ptr& compiled) -> pointer;
-  // From `to_value`; throws decode_error on what is none.
+  // Decodes the result of `to_value`. Throws decode_error if the value is malformed.
   static auto from_value(const value& stored) -> pointer;
-  // From what a node was sent: `rules` as in `rules()`, `head` as in `head()`. A sender of an earlier release sends no
-  // head: then the rules are compiled at once.
-  static auto from_received(const value& head, const std::string& rules) -> pointer;
+  // Creates a record from the results of `head` and `deflated_rules` that another node sent. Earlier releases send no
+  // head; the rules are then compiled at once to obtain the number and the pools.
+  static auto from_received(const value& head, const std::string& deflated_rules) -> pointer;
 
-  // Everything, for the replicated log and its snapshots.
+  // Encodes the complete record, for the replicated log and its snapshots.
   [[nodiscard]] auto to_value() const -> value;
-  // Number and pools, for nodes.
+  // Encodes the number and the pools, to be sent to nodes.
   [[nodiscard]] auto head() const -> value;
-  // What nodes need beside the head: the text without its origin, deflated.
-  [[nodiscard]] auto rules() const -> const std::string& {
-    return rules_deflated_;
+  // Returns the deflated text without its origin. Nodes receive it together with the head.
+  [[nodiscard]] auto deflated_rules() const -> const std::string& {
+    return deflated_rules_;
   }
-  // The whole as the operator sent it, its fields perhaps in another order.
+  // Returns the complete text that the operator sent. The order of its fields may differ.
   [[nodiscard]] auto body() const -> std::string;
-  // Compiled at the first call; throws decode_error if the stored bytes are damaged.
+  // Returns the compiled configuration; the first call compiles it. Throws decode_error if the stored bytes are
+  // damaged.
   [[nodiscard]] auto compiled() const -> const compiled_configuration_ptr&;
-  // Whether both say the same, in whatever order their fields stand.
+  // Returns whether both records have the same fields and values, in any order.
   [[nodiscard]] auto same_content(const configuration_record& other) const -> bool;
 
   std::int64_t number = 0;
-  std::int64_t after = -1;  // the number that it is meant to follow; -1: any
+  std::int64_t after = -1;  // the number of the configuration that this one must follow; -1: any
   std::map<std::string, pool> pools;
 
  private:
   [[nodiscard]] auto content() const -> value;
-  std::string rules_deflated_;
-  std::string origin_deflated_;  // empty: it was not translated from another text
-  mutable compiled_configuration_ptr compiled_rules_;
+  std::string deflated_rules_;
+  std::string deflated_origin_;  // empty if the configuration was not translated from another text
+  mutable compiled_configuration_ptr compiled_;
 };
 using configuration_ptr = configuration_record::pointer;
 
--- a/src/configuration/repeated_keys.cpp
+++ b/src/configuration/repeated_keys.cpp
@@ -5,7 +5,7 @@
 namespace reachridge {
 namespace {
 
-// Handler of a streaming parser that counts the keys of all objects in a text, repeated ones too.
+// Handler of a Boost.JSON streaming parser. Counts the keys of all objects in a text, including repeated ones.
 struct key_counter {
   static constexpr auto max_object_size = std::size_t(-1);
   static constexpr auto max_array_size = std::size_t(-1);
--- a/src/configuration/repeated_keys.hpp
+++ b/src/configuration/repeated_keys.hpp
@@ -1,4 +1,5 @@
-// Finds repeated keys in JSON text: a parsed value holds each key but once (design 7.1).
+// Detects repeated keys in JSON text. A parsed value does not show them, because it holds each key only once
+// (design 7.1).
 #pragma once
 #include <string>
 
@@ -6,7 +7,8 @@
 
 namespace reachridge {
 
-// Whether `body`, which was parsed as `parsed`, repeats a key in any object.
+// Returns whether any object in `body` contains a key more than once. `parsed` is the value that was parsed from
+// `body`.
 auto has_repeated_keys(const std::string& body, const value& parsed) -> bool;
 
 }  // namespace reachridge
--- a/src/configuration/rule_parser.cpp
+++ b/src/configuration/rule_parser.cpp
@@ -25,37 +25,38 @@
 
 struct token {
   std::string text;
-  std::size_t column;  // from 1
+  std::size_t column;  // counted from 1
 };
 
 auto is_space(char character) -> bool {
   return std::isspace(static_cast<unsigned char>(character)) != 0;
 }
 
-// Commas and the words between commas and blanks.
+// Splits a rule into commas and words. Whitespace and commas separate words.
 auto tokenize(const std::string& rule) -> std::vector<token> {
   auto tokens = std::vector<token>();
-  auto at = std::size_t{0};
-  while (at < rule.size()) {
-    if (is_space(rule[at])) {
-      ++at;
+  auto position = std::size_t{0};
+  while (position < rule.size()) {
+    if (is_space(rule[position])) {
+      ++position;
       continue;
     }
-    const auto start = at++;
+    const auto start = position++;
     if (rule[start] != ',')
-      while (at < rule.size() && rule[at] != ',' && !is_space(rule[at]))
-        ++at;
-    tokens.push_back({rule.substr(start, at - start), start + 1});
+      while (position < rule.size() && rule[position] != ',' && !is_space(rule[position]))
+        ++position;
+    tokens.push_back({rule.substr(start, position - start), start + 1});
   }
   return tokens;
 }
 
+// Recursive-descent parser for one rule. Appends the compiled steps to `program`.
 class rule_parser {
  public:
   rule_parser(const std::string& rule, std::vector<rule_step>& program) : tokens_(tokenize(rule)), program_(program) {}
 
   auto parse() -> void {
-    const auto keyword = take("a rule");
+    const auto keyword = next_token("a rule");
     if (keyword == "route")
       return parse_route();
     if (keyword != "allow" && keyword != "deny")
@@ -64,15 +65,15 @@
   }
 
  private:
-  // All tests of the rule jump behind it if they fail.
+  // Every test of the rule jumps to the step after the rule if the test fails.
   auto parse_decision(enum rule_step::kind decision) -> void {
     const auto first_test = program_.size();
     add_test(rule_step::kind::action, "", parse_actions());
     expect("on");
     add_test(rule_step::kind::topic, parse_pattern(), 0);
-    if (take_if("for"))
+    if (accept("for"))
       add_test(rule_step::kind::caller, parse_pattern(), 0);
-    if (take_if("under"))
+    if (accept("under"))
       add_test(rule_step::kind::size, "", parse_number());
     expect_end();
     program_.push_back({decision, {}, {}, 0, 0});
@@ -102,20 +103,20 @@
   auto parse_actions() -> std::int64_t {
     auto mask = std::int64_t{0};
     do {
-      const auto name = take("an act");
+      const auto name = next_token("an act");
       const auto* found = std::find_if(action_masks.begin(), action_masks.end(), [&](const auto& candidate) {
         return candidate.first == name;
       });
       if (found == action_masks.end())
         fail("'" + name + "' is no act: publish, subscribe, read, all");
       mask |= found->second;
-    } while (take_if(","));
+    } while (accept(","));
     return mask;
   }
 
   auto parse_pattern() -> std::string {
-    auto pattern = take("a pattern");
-    // std::strchr finds the zero byte too: it is allowed and matches itself.
+    auto pattern = next_token("a pattern");
+    // std::strchr also finds the terminating zero byte, so a pattern may contain zero bytes, which match literally.
     const auto is_allowed = [](char character) {
       return std::isalnum(static_cast<unsigned char>(character)) || std::strchr("-_./*:", character);
     };
@@ -125,7 +126,7 @@
   }
 
   auto parse_number() -> std::int64_t {
-    const auto number = take("a number of bytes");
+    const auto number = next_token("a number of bytes");
     const auto only_digits = number.find_first_not_of("0123456789") == std::string::npos;
     if (number.size() > max_number_digits || !only_digits)
       fail("'" + number + "' is no number of bytes");
@@ -136,41 +137,41 @@
     program_.push_back({kind, std::move(pattern), {}, number, 0});
   }
 
-  // Takes the next token; `expected` says in the error what should come.
-  auto take(const std::string& expected) -> std::string {
-    if (at_ >= tokens_.size())
+  // Consumes and returns the next token. `expected` describes the token in the error if the rule ends here.
+  auto next_token(const std::string& expected) -> std::string {
+    if (position_ >= tokens_.size())
       fail("ends where " + expected + " should stand");
-    return tokens_[at_++].text;
+    return tokens_[position_++].text;
   }
 
-  auto take_if(std::string_view text) -> bool {
-    if (at_ >= tokens_.size() || tokens_[at_].text != text)
+  auto accept(std::string_view text) -> bool {
+    if (position_ >= tokens_.size() || tokens_[position_].text != text)
       return false;
-    ++at_;
+    ++position_;
     return true;
   }
 
   auto expect(const std::string& text) -> void {
-    const auto taken = take("'" + text + "'");
+    const auto taken = next_token("'" + text + "'");
     if (taken != text)
       fail("'" + taken + "' stands where '" + text + "' should");
   }
 
   auto expect_end() -> void {
-    if (at_ >= tokens_.size())
+    if (position_ >= tokens_.size())
       return;
-    const auto& extra = tokens_[at_++];
+    const auto& extra = tokens_[position_++];
     fail("'" + extra.text + "' is too much");
   }
 
-  // The fault lies in the token taken last.
+  // Throws an error with the column of the last consumed token.
   [[noreturn]] auto fail(const std::string& message) const -> void {
-    const auto column = at_ == 0 ? 1 : tokens_[at_ - 1].column;
+    const auto column = position_ == 0 ? 1 : tokens_[position_ - 1].column;
     throw rule_syntax_error("column " + std::to_string(column) + ": " + message);
   }
 
   std::vector<token> tokens_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
   std::vector<rule_step>& program_;
 };
 
--- a/src/configuration/rule_parser.hpp
+++ b/src/configuration/rule_parser.hpp
@@ -1,4 +1,4 @@
-// The language of rules (design 7.1):
+// Parser of access rules (design 7.1). The grammar is:
 //
 //   rule    := ("allow" | "deny") actions "on" pattern ["for" pattern] ["under" number]
 //            | "route" pattern "to" pattern
@@ -13,12 +13,13 @@
 
 namespace reachridge {
 
-// A rule that does not follow the language; its text names the column.
+// Thrown for a rule that does not conform to the grammar. The message starts with the column of the error.
 struct rule_syntax_error : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Compiles one rule to steps behind those of `program`. Throws rule_syntax_error; `program` is then of no use.
+// Compiles one rule and appends its steps to `program`. If rule_syntax_error is thrown, `program` may contain a part of
+// the rule and must not be used.
 auto append_rule(const std::string& rule, std::vector<rule_step>& program) -> void;
 
 }  // namespace reachridge
--- a/src/configuration/rule_parser_test.cpp
+++ b/src/configuration/rule_parser_test.cpp
@@ -1,12 +1,12 @@
 #include "configuration/rule_parser.hpp"
 
-// After all others: it redefines new.
+// Must be the last include: CppUTest redefines operator new.
 #include <CppUTest/TestHarness.h>
 
 namespace {
 using namespace reachridge;
 
-auto fault_of(const std::string& rule) -> std::string {
+auto error_of(const std::string& rule) -> std::string {
   auto program = std::vector<rule_step>();
   try {
     append_rule(rule, program);
@@ -19,20 +19,20 @@
 
 TEST_GROUP(rule_parser_tests){};
 
-TEST(rule_parser_tests, a_fault_names_its_column) {
-  STRCMP_EQUAL("none", fault_of("allow publish,read on a/* for me under 12").c_str());
-  STRCMP_EQUAL("column 1: ends where a rule should stand", fault_of("").c_str());
-  STRCMP_EQUAL("column 1: 'permit' opens no rule: allow, deny or route does", fault_of("permit all").c_str());
-  STRCMP_EQUAL("column 14: ends where an act should stand", fault_of("allow publish,").c_str());
-  STRCMP_EQUAL("column 11: 'at' stands where 'on' should", fault_of("allow all at *").c_str());
-  STRCMP_EQUAL("column 14: 'a?' is no pattern", fault_of("allow all on a?").c_str());
-  STRCMP_EQUAL("column 22: '12345678' is no number of bytes", fault_of("allow all on * under 12345678").c_str());
-  STRCMP_EQUAL("column 16: 'now' is too much", fault_of("allow all on * now").c_str());
+TEST(rule_parser_tests, an_error_names_its_column) {
+  STRCMP_EQUAL("none", error_of("allow publish,read on a/* for me under 12").c_str());
+  STRCMP_EQUAL("column 1: ends where a rule should stand", error_of("").c_str());
+  STRCMP_EQUAL("column 1: 'permit' opens no rule: allow, deny or route does", error_of("permit all").c_str());
+  STRCMP_EQUAL("column 14: ends where an act should stand", error_of("allow publish,").c_str());
+  STRCMP_EQUAL("column 11: 'at' stands where 'on' should", error_of("allow all at *").c_str());
+  STRCMP_EQUAL("column 14: 'a?' is no pattern", error_of("allow all on a?").c_str());
+  STRCMP_EQUAL("column 22: '12345678' is no number of bytes", error_of("allow all on * under 12345678").c_str());
+  STRCMP_EQUAL("column 16: 'now' is too much", error_of("allow all on * now").c_str());
   STRCMP_EQUAL("column 14: a route wants '*' at the end of both sides, or on neither",
-               fault_of("route a/* to b").c_str());
+               error_of("route a/* to b").c_str());
 }
 
-TEST(rule_parser_tests, every_test_jumps_behind_its_rule) {
+TEST(rule_parser_tests, a_failed_test_jumps_to_the_step_after_its_rule) {
   auto program = std::vector<rule_step>();
   append_rule("route a/* to b/*", program);
   append_rule("deny read on b/* for me under 10", program);
--- a/src/configuration/types.hpp
+++ b/src/configuration/types.hpp
@@ -1,4 +1,4 @@
-// What a configuration consists of once it is read (design 7.1).
+// The parts of a compiled configuration (design 7.1).
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -6,43 +6,43 @@
 
 namespace reachridge {
 
-// A space of topics: all whose longest matching prefix is its own.
+// A space contains all topics whose longest matching prefix is the prefix of this space.
 struct space {
   std::string name;
   std::string prefix;
   std::string pool;
-  std::int64_t keep_ms = 0;  // 0: messages are not kept
-  std::int64_t urgency = 0;  // 9 overtakes 0
+  std::int64_t keep_ms = 0;  // retention of messages; 0: messages are not kept
+  std::int64_t urgency = 0;  // 0 to 9; storage nodes process requests of higher urgency first
   std::int64_t partitions = 4;
-  std::int64_t timeout_ms = 0;  // a publish unanswered for so long is given up; 0: no bound of its own
-  std::int64_t target_ms = 0;   // within this a message is worth most; 0: not said
-  bool by_topic = true;         // one order for all subscribers; else an order for each sender
+  std::int64_t timeout_ms = 0;  // timeout of an unanswered publish; 0: the space sets no timeout
+  std::int64_t target_ms = 0;   // target delivery time of a message; 0: not specified
+  bool by_topic = true;         // true: messages are ordered per topic; false: per sender
 };
 
-// The partitions that one or more spaces share. A space may come and go while its pool stays.
+// A set of partitions that one or more spaces share. Spaces can be added and removed while their pool remains.
 struct pool {
   std::int64_t partitions = 0;
-  std::int64_t keep_ms = 0;  // the most that any of its spaces asks for, as with `urgency`
-  std::int64_t urgency = 0;
+  std::int64_t keep_ms = 0;  // the maximum over the spaces of the pool
+  std::int64_t urgency = 0;  // the maximum over the spaces of the pool
 };
 
-// What a client may ask for; the values are the bits of a rule's mask.
+// The actions that a client may request. The values are bits of the mask in a rule.
 enum class action : unsigned { publish = 1, subscribe = 2, read = 4 };
 
-// One step of the compiled rules: a test, or what follows when all tests of its rule have passed.
+// One step of the compiled rules: a test, or the decision or route that applies when all tests of the rule have passed.
 struct rule_step {
   enum class kind { topic, caller, action, size, allow, deny, route } kind;
-  std::string pattern;               // of a test of the topic or the caller, and of a route
-  std::string target;                // of a route
-  std::int64_t number = 0;           // a mask of actions, or a bound in bytes
-  std::size_t next_on_mismatch = 0;  // the step that follows if the test fails
+  std::string pattern;               // for tests of the topic or the caller, and for routes
+  std::string target;                // for routes
+  std::int64_t number = 0;           // a mask of actions, or an exclusive limit in bytes
+  std::size_t next_on_mismatch = 0;  // index of the next step if the test fails
 };
 
-// What the rules say of one request.
+// The result of evaluating the rules for one request.
 struct rule_decision {
   bool allowed = false;
-  std::string topic;   // after routing
-  std::string reason;  // why it is not allowed
+  std::string topic;   // the topic after routing
+  std::string reason;  // why the request is denied
 };
 
 }  // namespace reachridge
--- a/tools/simulator/fleet.cpp
+++ b/tools/simulator/fleet.cpp
@@ -339,7 +339,8 @@
 }
 
 auto fleet::control_nodes_with(const std::string& body) const -> int {
-  auto stored = configuration_record::from_compiled(compile_configuration(body))->rules();  // as the log has it
+  auto stored =
+      configuration_record::from_compiled(compile_configuration(body))->deflated_rules();  // as the log has it
   auto n = 0;
   for (const auto& [name, p] : processes)
     if (p->kind == "queen")
