--- a/src/cluster/codec.cpp
+++ b/src/cluster/codec.cpp
@@ -42,7 +42,7 @@
   for (auto kind : {drain_kind::drain, drain_kind::evacuate, drain_kind::retire})
     if (to_string(kind) == text)
       return kind;
-  throw decode_error("no kind of a drain: " + std::string(text));
+  throw decode_error("unknown kind of drain: " + std::string(text));
 }
 
 auto drain::to_value() const -> value {
--- a/src/cluster/control_session.cpp
+++ b/src/cluster/control_session.cpp
@@ -211,7 +211,7 @@
 
 auto control_session::call(value request, monotonic_time deadline) -> task<value> {
   if (!peer_)
-    throw request_error(errc::unreachable, "no session stands", execution_outcome::not_executed,
+    throw request_error(errc::unreachable, "no connection to the control plane", execution_outcome::not_executed,
                         settings_.heartbeat_interval / millisecond);
   auto peer = peer_;  // keeps the connection until the answer arrives, even if the session moves to another endpoint
   co_return co_await peer->call(std::move(request), deadline);
--- a/src/cluster/session_codec.cpp
+++ b/src/cluster/session_codec.cpp
@@ -16,11 +16,11 @@
 
 auto decode_pending(const value& entry) -> pending_version {
   if (!entry.is_array() || entry.get_array().size() != 2)
-    throw decode_error("a deadline is a number and a time");
+    throw decode_error("deadline is not an array of a version and a time left, both integers");
   const auto& version = entry.get_array()[0];
   const auto& time_left = entry.get_array()[1];
   if (!version.is_int64() || !time_left.is_int64())
-    throw decode_error("a deadline is a number and a time");
+    throw decode_error("deadline is not an array of a version and a time left, both integers");
   return {version.get_int64(), time_left.get_int64()};
 }
 
--- a/src/configuration/compiled_configuration.cpp
+++ b/src/configuration/compiled_configuration.cpp
@@ -39,7 +39,7 @@
 
 auto compiled_configuration::decide(action requested, const std::string& caller, const std::string& topic,
                                     std::size_t bytes) const -> rule_decision {
-  auto decision = rule_decision{false, topic, "no rule allows it"};
+  auto decision = rule_decision{false, topic, "no rule allows the request"};
   for (auto i = std::size_t{0}; i < rules.size();) {
     const auto& step = rules[i];
     if (step.kind == rule_step::kind::allow) {
@@ -47,7 +47,7 @@
       return decision;
     }
     if (step.kind == rule_step::kind::deny) {
-      decision.reason = "a rule denies it";
+      decision.reason = "a rule denies the request";
       return decision;
     }
     if (step.kind == rule_step::kind::route)
--- a/src/configuration/compiled_configuration_test.cpp
+++ b/src/configuration/compiled_configuration_test.cpp
@@ -34,12 +34,12 @@
 
 TEST(configuration_rules, errors_name_the_place_and_the_reason) {
   STRCMP_EQUAL("none", errors_of(R"({"number":1,"spaces":[]})").c_str());
-  STRCMP_CONTAINS("number: is repeated", errors_of(R"({"number":1,"number":2,"spaces":[]})").c_str());
-  STRCMP_CONTAINS("shape: is no key", errors_of(R"({"number":1,"shape":2,"spaces":[]})").c_str());
-  STRCMP_CONTAINS("number: wants a whole number", errors_of(R"({"number":"1","spaces":[]})").c_str());
+  STRCMP_CONTAINS("number: is a repeated key", errors_of(R"({"number":1,"number":2,"spaces":[]})").c_str());
+  STRCMP_CONTAINS("shape: is an unknown key", errors_of(R"({"number":1,"shape":2,"spaces":[]})").c_str());
+  STRCMP_CONTAINS("number: must be an integer", errors_of(R"({"number":"1","spaces":[]})").c_str());
   STRCMP_CONTAINS("spaces[0].keep_s: 9999999 is outside",
                   errors_of(R"({"number":1,"spaces":[{"name":"a","keep_s":9999999}]})").c_str());
-  STRCMP_CONTAINS("rules[0]: column 7: 'shout' is no act",
+  STRCMP_CONTAINS("rules[0]: column 7: 'shout' is not a valid action",
                   errors_of(R"({"number":1,"spaces":[],"rules":["allow shout on *"]})").c_str());
   STRCMP_CONTAINS("no space 'c'", errors_of(R"({"number":1,"spaces":[],"rules":["route a/* to c/*"]})").c_str());
   STRCMP_CONTAINS("line 1", errors_of("{").c_str());
@@ -73,16 +73,16 @@
     return errors_of(R"({"number":1,"spaces":[{"name":"a","keep_s":1},)" + more + "]}");
   };
   STRCMP_EQUAL("none", with(R"({"name":"b","keep_s":1})").c_str());
-  STRCMP_CONTAINS("spaces[1].prefix: 'a/' is the prefix of two",
+  STRCMP_CONTAINS("spaces[1].prefix: 'a/' is already the prefix of another",
                   with(R"({"name":"b","keep_s":1,"prefix":"a/"})").c_str());
-  STRCMP_CONTAINS("spaces[1].prefix: wants 1 to 200", with(R"({"name":"b","keep_s":1,"prefix":"a b"})").c_str());
-  STRCMP_CONTAINS("spaces[1].prefix: wants a string", with(R"({"name":"b","keep_s":1,"prefix":3})").c_str());
+  STRCMP_CONTAINS("spaces[1].prefix: must be 1 to 200", with(R"({"name":"b","keep_s":1,"prefix":"a b"})").c_str());
+  STRCMP_CONTAINS("spaces[1].prefix: must be a string", with(R"({"name":"b","keep_s":1,"prefix":3})").c_str());
   STRCMP_CONTAINS("spaces[1].cells: pool 'a' has 4", with(R"({"name":"b","keep_s":1,"pool":"a","cells":3})").c_str());
-  STRCMP_CONTAINS("spaces[1].keep_ms: stands beside", with(R"({"name":"b","keep_s":1,"keep_ms":3})").c_str());
+  STRCMP_CONTAINS("spaces[1].keep_ms: cannot be combined", with(R"({"name":"b","keep_s":1,"keep_ms":3})").c_str());
   STRCMP_CONTAINS("spaces[1].keep_s: is missing", with(R"({"name":"b"})").c_str());
   STRCMP_CONTAINS("spaces[1].order: 'odd'", with(R"({"name":"b","keep_s":1,"order":"odd"})").c_str());
   STRCMP_CONTAINS("spaces[1].timeout_ms: -1 is outside", with(R"({"name":"b","keep_s":1,"timeout_ms":-1})").c_str());
-  STRCMP_CONTAINS("origin: wants a string", errors_of(R"({"number":1,"spaces":[],"origin":1})").c_str());
+  STRCMP_CONTAINS("origin: must be a string", errors_of(R"({"number":1,"spaces":[],"origin":1})").c_str());
   STRCMP_CONTAINS("subscriptions: 0 is outside", errors_of(R"({"number":1,"spaces":[],"subscriptions":0})").c_str());
 }
 
@@ -91,6 +91,6 @@
 TEST(configuration_spaces, a_repeated_list_of_spaces_of_any_length_is_an_error) {
   const auto spaces = std::string(R"([{"name":"a","keep_s":1},{"name":"b","keep_s":1}])");
   for (const auto& first : {std::string("[]"), std::string("3"), std::string(R"([{"name":"a","keep_s":1}])"), spaces})
-    STRCMP_EQUAL("spaces: is repeated",
+    STRCMP_EQUAL("spaces: is a repeated key",
                  errors_of(R"({"number":1,"spaces":)" + first + R"(,"spaces":)" + spaces + "}").c_str());
 }
--- a/src/configuration/configuration_compiler.cpp
+++ b/src/configuration/configuration_compiler.cpp
@@ -39,7 +39,7 @@
 constexpr auto default_partitions = std::int64_t{4};
 constexpr auto default_rule = "allow all on *";
 
-constexpr auto invalid_name = "wants 1 to 64 letters, digits, '-', '_', '.'";
+constexpr auto invalid_name = "must be 1 to 64 letters, digits, '-', '_' or '.'";
 
 auto configuration_fields() -> const std::set<std::string>& {
   static const auto names = std::set<std::string>{"number", "after", "spaces", "rules", "subscriptions", "origin"};
@@ -89,7 +89,7 @@
     errors.add("line " + std::to_string(thrown.line()), thrown.message());
   }
   if (errors.empty() && !out.root.is_object())
-    errors.add("charter", "is no JSON object");
+    errors.add("charter", "is not a JSON object");
   return out;
 }
 
@@ -122,7 +122,7 @@
   auto compile_spaces() -> void {
     const auto& spaces = get_value(document_.root, "spaces");
     if (!spaces.is_array())
-      return errors_.add("spaces", "wants a list of spaces");
+      return errors_.add("spaces", "must be an array of spaces");
     // If the key "spaces" is repeated, get_child returns the first list, which may be shorter than the list in
     // `spaces`.
     static const auto no_entries = ptree();
@@ -133,14 +133,14 @@
       const auto place = "spaces[" + std::to_string(position++) + "].";
       const auto* with_repeated_keys = next_entry != entries.end() ? &(next_entry++)->second : nullptr;
       if (!fields.is_object()) {
-        errors_.add(place, "is no space");
+        errors_.add(place, "is not a JSON object");
         continue;
       }
       auto reader = field_reader(fields, with_repeated_keys, place, errors_);
       add_space(reader, compile_space(reader));
     }
     if (spaces.get_array().size() > max_spaces)
-      errors_.add("spaces", "more than " + std::to_string(max_spaces));
+      errors_.add("spaces", "number of spaces exceeds " + std::to_string(max_spaces));
   }
 
   static auto compile_space(field_reader& fields) -> space {
@@ -154,7 +154,7 @@
     out.target_ms = fields.read_integer("aim_ms", timeout_range, 0);
     const auto order = fields.string("order", "topic");
     if (order != "topic" && order != "sender")
-      fields.add_error("order", "'" + order + "' is neither topic nor sender");
+      fields.add_error("order", "'" + order + "' is neither 'topic' nor 'sender'");
     out.by_topic = order != "sender";
     return out;
   }
@@ -166,7 +166,7 @@
     out.name = name.value_or("");
     out.prefix = fields.string("prefix", out.name + "/");
     if (!is_topic(out.prefix))
-      fields.add_error("prefix", "wants 1 to 200 printable characters without a space");
+      fields.add_error("prefix", "must be 1 to 200 printable characters without spaces");
     out.pool = fields.string("pool", out.name);
     if (!is_valid_name(out.pool))
       fields.add_error("pool", invalid_name);
@@ -177,20 +177,20 @@
     if (!fields.has("keep_ms"))
       return fields.read_required_integer("keep_s", keep_s_range) * 1000;
     if (fields.has("keep_s"))
-      fields.add_error("keep_ms", "stands beside keep_s");
+      fields.add_error("keep_ms", "cannot be combined with keep_s");
     return fields.read_required_integer("keep_ms", keep_ms_range);
   }
 
   // Adds a space after checking it for conflicts with the spaces before it.
   auto add_space(field_reader& fields, const space& added) -> void {
     if (!out_.spaces.emplace(added.name, added).second)
-      fields.add_error("name", "'" + added.name + "' is the name of two spaces");
+      fields.add_error("name", "'" + added.name + "' is already the name of another space");
     if (!prefixes_.insert(added.prefix).second)
-      fields.add_error("prefix", "'" + added.prefix + "' is the prefix of two spaces");
+      fields.add_error("prefix", "'" + added.prefix + "' is already the prefix of another space");
     const auto known_partitions = pool_partitions_.emplace(added.pool, added.partitions).first->second;
     if (known_partitions != added.partitions)
       fields.add_error("cells",
-                       "pool '" + added.pool + "' has " + std::to_string(known_partitions) + " in another space");
+                       "pool '" + added.pool + "' has " + std::to_string(known_partitions) + " cells in another space");
   }
 
   auto read_rules() -> std::vector<std::string> {
@@ -198,7 +198,7 @@
       return {default_rule};
     const auto& rules = get_value(document_.root, "rules");
     if (!rules.is_array()) {
-      errors_.add("rules", "wants a list of strings");
+      errors_.add("rules", "must be an array of strings");
       return {};
     }
     auto out = std::vector<std::string>();
@@ -208,10 +208,10 @@
       if (rule.is_string())
         out.emplace_back(rule.get_string());
       else
-        errors_.add(place, "wants a string");
+        errors_.add(place, "must be a string");
     }
     if (out.size() > max_rules)
-      errors_.add("rules", "more than " + std::to_string(max_rules));
+      errors_.add("rules", "number of rules exceeds " + std::to_string(max_rules));
     return out;
   }
 
--- a/src/configuration/configuration_record.cpp
+++ b/src/configuration/configuration_record.cpp
@@ -17,7 +17,7 @@
   auto out = std::string(size, '\0');
   if (::compress2(reinterpret_cast<Bytef*>(out.data()), &size, reinterpret_cast<const Bytef*>(plain.data()),
                   plain.size(), Z_BEST_SPEED) != Z_OK)
-    throw request_error(errc::busy, "a configuration could not be deflated");
+    throw request_error(errc::busy, "cannot deflate the text of a configuration");
   out.resize(size);
   return out;
 }
@@ -27,7 +27,7 @@
   stream.next_in = reinterpret_cast<Bytef*>(const_cast<char*>(bytes.data()));
   stream.avail_in = static_cast<uInt>(bytes.size());
   if (::inflateInit(&stream) != Z_OK)
-    throw decode_error("no room to inflate a configuration");
+    throw decode_error("cannot initialize the inflation of a configuration");
   auto out = std::string();
   auto buffer = std::array<char, inflate_buffer_bytes>();
   auto result = Z_OK;
@@ -39,7 +39,7 @@
   }
   ::inflateEnd(&stream);
   if (result != Z_STREAM_END)
-    throw decode_error("a configuration that does not inflate");
+    throw decode_error("cannot inflate a configuration: the data is damaged or too large");
   return out;
 }
 
@@ -52,7 +52,7 @@
 
 auto pools_from_value(const value& stored) -> std::map<std::string, pool> {
   if (!stored.is_object())
-    throw decode_error("a configuration without pools");
+    throw decode_error("field 'pools' of a configuration is missing or not an object");
   auto out = std::map<std::string, pool>();
   for (const auto& entry : stored.get_object()) {
     const auto& fields = entry.value();
--- a/src/configuration/field_reader.cpp
+++ b/src/configuration/field_reader.cpp
@@ -3,8 +3,8 @@
 namespace reachridge {
 namespace {
 
-constexpr auto unknown_key = "is no key known here";
-constexpr auto not_a_string = "wants a string";
+constexpr auto unknown_key = "is an unknown key";
+constexpr auto not_a_string = "must be a string";
 
 }  // namespace
 
@@ -20,7 +20,7 @@
     if (!known.count(key))
       add_error(key, unknown_key);
     else if (!seen.insert(key).second)
-      add_error(key, "is repeated");
+      add_error(key, "is a repeated key");
   }
 }
 
@@ -36,12 +36,12 @@
     return fallback;
   const auto& content = get_value(fields_, key);
   if (!content.is_int64()) {
-    add_error(key, "wants a whole number");
+    add_error(key, "must be an integer");
     return fallback;
   }
   const auto number = content.get_int64();
   if (number < range.lowest || number > range.highest) {
-    add_error(key, std::to_string(number) + " is outside " + std::to_string(range.lowest) + " to " +
+    add_error(key, std::to_string(number) + " is outside the range " + std::to_string(range.lowest) + " to " +
                        std::to_string(range.highest));
     return fallback;
   }
--- a/src/configuration/rule_parser.cpp
+++ b/src/configuration/rule_parser.cpp
@@ -56,11 +56,11 @@
   rule_parser(const std::string& rule, std::vector<rule_step>& program) : tokens_(tokenize(rule)), program_(program) {}
 
   auto parse() -> void {
-    const auto keyword = next_token("a rule");
+    const auto keyword = next_token("'allow', 'deny' or 'route'");
     if (keyword == "route")
       return parse_route();
     if (keyword != "allow" && keyword != "deny")
-      fail("'" + keyword + "' opens no rule: allow, deny or route does");
+      fail("'" + keyword + "' is not a valid keyword, expected 'allow', 'deny' or 'route'");
     parse_decision(keyword == "allow" ? rule_step::kind::allow : rule_step::kind::deny);
   }
 
@@ -87,7 +87,7 @@
     const auto target = parse_pattern();
     expect_end();
     if (!is_route(from, target))
-      fail("a route wants '*' at the end of both sides, or on neither");
+      fail("a route needs a '*' at the end of both patterns or in neither");
     program_.push_back({rule_step::kind::route, from, target, 0, program_.size() + 1});
   }
 
@@ -103,12 +103,12 @@
   auto parse_actions() -> std::int64_t {
     auto mask = std::int64_t{0};
     do {
-      const auto name = next_token("an act");
+      const auto name = next_token("an action");
       const auto* found = std::find_if(action_masks.begin(), action_masks.end(), [&](const auto& candidate) {
         return candidate.first == name;
       });
       if (found == action_masks.end())
-        fail("'" + name + "' is no act: publish, subscribe, read, all");
+        fail("'" + name + "' is not a valid action, expected 'publish', 'subscribe', 'read' or 'all'");
       mask |= found->second;
     } while (accept(","));
     return mask;
@@ -121,7 +121,7 @@
       return std::isalnum(static_cast<unsigned char>(character)) || std::strchr("-_./*:", character);
     };
     if (!std::all_of(pattern.begin(), pattern.end(), is_allowed))
-      fail("'" + pattern + "' is no pattern");
+      fail("'" + pattern + "' is not a valid pattern");
     return pattern;
   }
 
@@ -129,7 +129,7 @@
     const auto number = next_token("a number of bytes");
     const auto only_digits = number.find_first_not_of("0123456789") == std::string::npos;
     if (number.size() > max_number_digits || !only_digits)
-      fail("'" + number + "' is no number of bytes");
+      fail("'" + number + "' is not a valid number of bytes");
     return std::stoll(number);
   }
 
@@ -140,7 +140,7 @@
   // Consumes and returns the next token. `expected` describes the token in the error if the rule ends here.
   auto next_token(const std::string& expected) -> std::string {
     if (position_ >= tokens_.size())
-      fail("ends where " + expected + " should stand");
+      fail("rule ends where " + expected + " is expected");
     return tokens_[position_++].text;
   }
 
@@ -154,14 +154,14 @@
   auto expect(const std::string& text) -> void {
     const auto taken = next_token("'" + text + "'");
     if (taken != text)
-      fail("'" + taken + "' stands where '" + text + "' should");
+      fail("'" + taken + "' found where '" + text + "' is expected");
   }
 
   auto expect_end() -> void {
     if (position_ >= tokens_.size())
       return;
     const auto& extra = tokens_[position_++];
-    fail("'" + extra.text + "' is too much");
+    fail("'" + extra.text + "' is unexpected after the end of the rule");
   }
 
   // Throws an error with the column of the last consumed token.
--- a/src/configuration/rule_parser_test.cpp
+++ b/src/configuration/rule_parser_test.cpp
@@ -21,14 +21,16 @@
 
 TEST(rule_parser_tests, an_error_names_its_column) {
   STRCMP_EQUAL("none", error_of("allow publish,read on a/* for me under 12").c_str());
-  STRCMP_EQUAL("column 1: ends where a rule should stand", error_of("").c_str());
-  STRCMP_EQUAL("column 1: 'permit' opens no rule: allow, deny or route does", error_of("permit all").c_str());
-  STRCMP_EQUAL("column 14: ends where an act should stand", error_of("allow publish,").c_str());
-  STRCMP_EQUAL("column 11: 'at' stands where 'on' should", error_of("allow all at *").c_str());
-  STRCMP_EQUAL("column 14: 'a?' is no pattern", error_of("allow all on a?").c_str());
-  STRCMP_EQUAL("column 22: '12345678' is no number of bytes", error_of("allow all on * under 12345678").c_str());
-  STRCMP_EQUAL("column 16: 'now' is too much", error_of("allow all on * now").c_str());
-  STRCMP_EQUAL("column 14: a route wants '*' at the end of both sides, or on neither",
+  STRCMP_EQUAL("column 1: rule ends where 'allow', 'deny' or 'route' is expected", error_of("").c_str());
+  STRCMP_EQUAL("column 1: 'permit' is not a valid keyword, expected 'allow', 'deny' or 'route'",
+               error_of("permit all").c_str());
+  STRCMP_EQUAL("column 14: rule ends where an action is expected", error_of("allow publish,").c_str());
+  STRCMP_EQUAL("column 11: 'at' found where 'on' is expected", error_of("allow all at *").c_str());
+  STRCMP_EQUAL("column 14: 'a?' is not a valid pattern", error_of("allow all on a?").c_str());
+  STRCMP_EQUAL("column 22: '12345678' is not a valid number of bytes",
+               error_of("allow all on * under 12345678").c_str());
+  STRCMP_EQUAL("column 16: 'now' is unexpected after the end of the rule", error_of("allow all on * now").c_str());
+  STRCMP_EQUAL("column 14: a route needs a '*' at the end of both patterns or in neither",
                error_of("route a/* to b").c_str());
 }
 
