--- a/src/configuration/configuration_record.cpp
+++ b/src/configuration/configuration_record.cpp
@@ -17,7 +17,7 @@
   auto out = std::string(size, '\0');
   if (::compress2(reinterpret_cast<Bytef*>(out.data()), &size, reinterpret_cast<const Bytef*>(plain.data()),
                   plain.size(), Z_BEST_SPEED) != Z_OK)
-    throw request_error(errc::busy, "a configuration could not be deflated");
+    throw request_error(errc::busy, "cannot deflate the text of a configuration");
   out.resize(size);
   return out;
 }
@@ -27,7 +27,7 @@
   stream.next_in = reinterpret_cast<Bytef*>(const_cast<char*>(bytes.data()));
   stream.avail_in = static_cast<uInt>(bytes.size());
   if (::inflateInit(&stream) != Z_OK)
-    throw decode_error("no room to inflate a configuration");
+    throw decode_error("cannot initialize the inflation of a configuration");
   auto out = std::string();
   auto buffer = std::array<char, inflate_buffer_bytes>();
   auto result = Z_OK;
@@ -39,24 +39,24 @@
   }
   ::inflateEnd(&stream);
   if (result != Z_STREAM_END)
-    throw decode_error("a configuration that does not inflate");
+    throw decode_error("cannot inflate a configuration: the data is damaged or too large");
   return out;
 }
 
 auto pools_to_value(const std::map<std::string, pool>& pools) -> value {
   auto out = object();
-  for (const auto& [name, shared] : pools)
-    out[name] = object{{"cells", shared.partitions}, {"keep_ms", shared.keep_ms}, {"urgency", shared.urgency}};
+  for (const auto& [name, entry] : pools)
+    out[name] = object{{"cells", entry.partitions}, {"keep_ms", entry.keep_ms}, {"urgency", entry.urgency}};
   return out;
 }
 
 auto pools_from_value(const value& stored) -> std::map<std::string, pool> {
   if (!stored.is_object())
-    throw decode_error("a configuration without pools");
+    throw decode_error("field 'pools' of a configuration is missing or not an object");
   auto out = std::map<std::string, pool>();
   for (const auto& entry : stored.get_object()) {
-    const auto& row = entry.value();
-    out[std::string(entry.key())] = {get_int(row, "cells"), get_int(row, "keep_ms"), get_int(row, "urgency")};
+    const auto& fields = entry.value();
+    out[std::string(entry.key())] = {get_int(fields, "cells"), get_int(fields, "keep_ms"), get_int(fields, "urgency")};
   }
   return out;
 }
@@ -69,13 +69,13 @@
   out->after = compiled->after;
   out->pools = compiled->pools;
   if (compiled->origin.empty()) {
-    out->rules_deflated_ = deflate(compiled->body);
+    out->deflated_rules_ = deflate(compiled->body);
     return out;
   }
   auto fields = boost::json::parse(compiled->body);
   fields.as_object().erase("origin");
-  out->rules_deflated_ = deflate(to_json(fields));
-  out->origin_deflated_ = deflate(compiled->origin);
+  out->deflated_rules_ = deflate(to_json(fields));
+  out->deflated_origin_ = deflate(compiled->origin);
   return out;
 }
 
@@ -84,14 +84,14 @@
   out->number = get_int(stored, "number");
   out->after = get_int_or(stored, "after", -1);
   out->pools = pools_from_value(get_value(stored, "pools"));
-  out->rules_deflated_ = get_string(stored, "rules");
-  out->origin_deflated_ = get_string_or(stored, "origin");
+  out->deflated_rules_ = get_string(stored, "rules");
+  out->deflated_origin_ = get_string_or(stored, "origin");
   return out;
 }
 
-auto configuration_record::from_received(const value& head, const std::string& rules) -> pointer {
+auto configuration_record::from_received(const value& head, const std::string& deflated_rules) -> pointer {
   auto out = std::make_shared<configuration_record>();
-  out->rules_deflated_ = rules;
+  out->deflated_rules_ = deflated_rules;
   if (!head.is_object()) {
     out->number = out->compiled()->number;
     out->pools = out->compiled()->pools;
@@ -103,9 +103,9 @@
 }
 
 auto configuration_record::to_value() const -> value {
-  auto out = object{{"number", number}, {"after", after}, {"pools", pools_to_value(pools)}, {"rules", rules_deflated_}};
-  if (!origin_deflated_.empty())
-    out["origin"] = origin_deflated_;
+  auto out = object{{"number", number}, {"after", after}, {"pools", pools_to_value(pools)}, {"rules", deflated_rules_}};
+  if (!deflated_origin_.empty())
+    out["origin"] = deflated_origin_;
   return out;
 }
 
@@ -114,26 +114,26 @@
 }
 
 auto configuration_record::content() const -> value {
-  auto out = boost::json::parse(inflate(rules_deflated_));
-  if (!origin_deflated_.empty())
-    out.as_object()["origin"] = inflate(origin_deflated_);
+  auto out = boost::json::parse(inflate(deflated_rules_));
+  if (!deflated_origin_.empty())
+    out.as_object()["origin"] = inflate(deflated_origin_);
   return out;
 }
 
 auto configuration_record::body() const -> std::string {
-  if (origin_deflated_.empty())
-    return inflate(rules_deflated_);
+  if (deflated_origin_.empty())
+    return inflate(deflated_rules_);
   return to_json(content());
 }
 
 auto configuration_record::compiled() const -> const compiled_configuration_ptr& {
-  if (!compiled_rules_)
-    compiled_rules_ = compile_configuration(inflate(rules_deflated_));
-  return compiled_rules_;
+  if (!compiled_)
+    compiled_ = compile_configuration(inflate(deflated_rules_));
+  return compiled_;
 }
 
 auto configuration_record::same_content(const configuration_record& other) const -> bool {
-  if (rules_deflated_ == other.rules_deflated_ && origin_deflated_ == other.origin_deflated_)
+  if (deflated_rules_ == other.deflated_rules_ && deflated_origin_ == other.deflated_origin_)
     return true;
   return content() == other.content();
 }
