--- a/src/control/command_codec.cpp
+++ b/src/control/command_codec.cpp
@@ -1,10 +1,10 @@
-// Commands and their results as values, and back. No other file knows the names of their fields.
+// Encodes and decodes commands and encodes their results. Only this file knows the names of the encoded fields.
 #include "control/commands.hpp"
 
 namespace reachridge {
 namespace {
 
-// Names of the commands in field "k".
+// Values of field "k", which names the command.
 constexpr auto configuration_name = std::string_view("charter");
 constexpr auto assignment_name = std::string_view("cell");
 constexpr auto recreation_name = std::string_view("refound");
@@ -42,11 +42,11 @@
   return out;
 }
 
-auto encode_drain_order(std::string_view name, const std::string& node, const std::optional<log_index>& decided_at)
-    -> object {
+auto encode_drain_order(std::string_view name, const std::string& node,
+                        const std::optional<log_index>& expected_last_order) -> object {
   auto out = object{{"k", name}, {"name", node}};
-  if (decided_at)
-    out["after"] = decided_at->get();
+  if (expected_last_order)
+    out["after"] = expected_last_order->get();
   return out;
 }
 
@@ -66,26 +66,26 @@
   }
   auto operator()(const recreation_command& command) const -> object {
     auto out = encode_assignment(recreation_name, command.partition, command.assignment);
-    out["forsake"] = command.forsakes_messages;
+    out["forsake"] = command.accepts_message_loss;
     return out;
   }
   auto operator()(const begin_drain_command& command) const -> object {
-    auto out = encode_drain_order(begin_drain_name, command.name, command.decided_at);
+    auto out = encode_drain_order(begin_drain_name, command.name, command.expected_last_order);
     out["kind"] = to_string(command.kind);
-    if (command.remaining) {
-      out["rest"] = encode_zones(*command.remaining);
+    if (command.remaining_nodes) {
+      out["rest"] = encode_zones(*command.remaining_nodes);
       out["copies"] = command.replicas;
     }
     return out;
   }
   auto operator()(const end_drain_command& command) const -> object {
-    return encode_drain_order(end_drain_name, command.name, command.decided_at);
+    return encode_drain_order(end_drain_name, command.name, command.expected_last_order);
   }
   auto operator()(const decline_drain_command& command) const -> object {
-    auto out = encode_drain_order(decline_drain_name, command.name, command.decided_at);
-    if (command.remaining) {  // in another order than where a drain begins, as in earlier releases
+    auto out = encode_drain_order(decline_drain_name, command.name, command.expected_last_order);
+    if (command.remaining_nodes) {  // earlier releases use this field order, which differs from begin_drain_command
       out["copies"] = command.replicas;
-      out["rest"] = encode_zones(*command.remaining);
+      out["rest"] = encode_zones(*command.remaining_nodes);
     }
     return out;
   }
@@ -97,9 +97,9 @@
 auto decode_begin_drain(const value& encoded) -> begin_drain_command {
   auto out = begin_drain_command();
   out.name = get_string(encoded, "name");
-  out.decided_at = decode_decided_at(encoded);
+  out.expected_last_order = decode_decided_at(encoded);
   out.kind = parse_drain_kind(get_string(encoded, "kind"));
-  out.remaining = decode_zones(get_value(encoded, "rest"));
+  out.remaining_nodes = decode_zones(get_value(encoded, "rest"));
   out.replicas = get_int_or(encoded, "copies", default_replicas);
   return out;
 }
@@ -109,7 +109,7 @@
     auto out = object{{"ok", true}};
     if (result.configuration_number)
       out["number"] = *result.configuration_number;
-    if (result.repeated)
+    if (result.is_repeat)
       out["repeat"] = true;
     if (result.drain_completed)
       out["done"] = *result.drain_completed;
--- a/src/control/command_codec_test.cpp
+++ b/src/control/command_codec_test.cpp
@@ -1,7 +1,8 @@
-// The encoded forms are those of logs and of control nodes of other releases: each field and the order of the fields.
+// Tests the encoded commands and results. Existing logs and control nodes of other releases depend on each field and on
+// the order of the fields.
 #include "control/commands.hpp"
 
-// After all others: it redefines new.
+// This include must be the last one, because CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 namespace {
@@ -40,21 +41,21 @@
 TEST(command_codec, drains) {
   STRCMP_EQUAL(R"({"k":"leave","name":"x","after":7,"kind":"evacuate"})",
                json(begin_drain_command{"x", 7, drain_kind::evacuate, {}, 2}).c_str());
-  auto remaining = node_zones{{"z", "z2"}, {"y", ""}};
+  auto remaining_nodes = node_zones{{"z", "z2"}, {"y", ""}};
   STRCMP_EQUAL(R"({"k":"leave","name":"x","after":7,"kind":"retire","rest":{"z":"z2","y":""},"copies":3})",
-               json(begin_drain_command{"x", 7, drain_kind::retire, remaining, 3}).c_str());
+               json(begin_drain_command{"x", 7, drain_kind::retire, remaining_nodes, 3}).c_str());
   STRCMP_EQUAL(R"({"k":"stay","name":"x","after":7})", json(end_drain_command{"x", 7}).c_str());
   STRCMP_EQUAL(R"({"k":"decline","name":"x","after":7})", json(decline_drain_command{"x", 7, {}, 2}).c_str());
   STRCMP_EQUAL(R"({"k":"decline","name":"x","after":7,"copies":3,"rest":{"z":"z2","y":""}})",
-               json(decline_drain_command{"x", 7, remaining, 3}).c_str());
+               json(decline_drain_command{"x", 7, remaining_nodes, 3}).c_str());
   STRCMP_EQUAL(R"({"k":"left","name":"x"})", json(complete_drain_command{"x"}).c_str());
 }
 
 TEST(command_codec, a_command_is_read_as_it_was_written) {
-  auto remaining = node_zones{{"z", "z2"}, {"y", ""}};
+  auto remaining_nodes = node_zones{{"z", "z2"}, {"y", ""}};
   auto commands = std::vector<control_command>{assignment_command{"a/0", assigned()},
                                                recreation_command{"a/0", assigned(), true},
-                                               begin_drain_command{"x", 7, drain_kind::retire, remaining, 3},
+                                               begin_drain_command{"x", 7, drain_kind::retire, remaining_nodes, 3},
                                                begin_drain_command{"x", {}, drain_kind::drain, {}, 2},
                                                end_drain_command{"x", 7},
                                                decline_drain_command{"x", 7, {}, 2},
@@ -78,9 +79,9 @@
   STRCMP_EQUAL(R"({"ok":true})", result_json(command_accepted{}).c_str());
   STRCMP_EQUAL(R"({"ok":true,"number":5})", result_json(command_accepted{.configuration_number = 5}).c_str());
   STRCMP_EQUAL(R"({"ok":true,"number":5,"repeat":true})",
-               result_json(command_accepted{.configuration_number = 5, .repeated = true}).c_str());
+               result_json(command_accepted{.configuration_number = 5, .is_repeat = true}).c_str());
   STRCMP_EQUAL(R"({"ok":true,"repeat":true,"done":false})",
-               result_json(command_accepted{.repeated = true, .drain_completed = false}).c_str());
+               result_json(command_accepted{.is_repeat = true, .drain_completed = false}).c_str());
   auto row = to_json(assigned().to_value());
   STRCMP_EQUAL((R"({"ok":true,"row":)" + row + "}").c_str(),
                result_json(command_accepted{.assignment = assigned()}).c_str());
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -1,3 +1,4 @@
+// Startup, request dispatch, forwarding to the leader and the cluster view of a control node.
 #include "control/control_node.hpp"
 
 #include "cluster/node_kind.hpp"
@@ -8,9 +9,10 @@
 namespace reachridge {
 namespace {
 
-constexpr auto unknown_request = std::string_view("unknown request ");
-constexpr auto raft_prefix = std::string_view("l.");  // of the replicated log's requests
-constexpr auto boot_key = "Q/boot";                   // how often this control node was started
+// Prefix of the error that a control node returns for an unknown operation. Earlier releases return the same text.
+constexpr auto unknown_request_prefix = std::string_view("unknown request ");
+constexpr auto raft_prefix = std::string_view("l.");  // operations of the replicated log
+constexpr auto boot_key = "Q/boot";                   // disk key of the number of starts of this control node
 
 }  // namespace
 
@@ -19,9 +21,9 @@
       settings_(settings),
       raft(host, settings,
            {[this](std::int64_t log_index, const value& command) {
-              auto before = state.configuration;
+              auto previous = state.configuration;
               auto result = state.apply_encoded(log_index, command);
-              time_version(before);
+              set_version_deadline(previous);
               refresh_view();
               return result;
             },
@@ -39,7 +41,8 @@
   tasks_.on_error = [this](std::exception_ptr error) {
     log_task_error(error);
   };
-  // A control node whose disk was lost counts from one again: it must be another source.
+  // The source contains the disk identity: after the loss of its disk, a control node counts its starts from one again
+  // and must therefore be a different source.
   sessions_.start(settings.address + "/" + raft.disk_id(), next_boot_id());
   refresh_view();
   auto handlers = rpc_handlers();
@@ -72,8 +75,8 @@
 
 auto control_node::on_leader_change() -> void {
   leases_.clear();
-  moves_.clear();
-  // When another leader's versions were agreed on is not known here: they are all due.
+  requested_moves_.clear();
+  // A new leader does not know when versions were committed under an earlier leader, so they are all due now.
   if (raft.is_leader() && state.configuration)
     deadlines_.add(state.configuration->number, host_.now());
   changed_.wake();
@@ -113,17 +116,17 @@
   return raft.leadership_established() && host_.now() < raft.last_quorum_contact() + settings_.leader_contact_limit();
 }
 
-// A follower is ready if the leader has just granted it leases, which takes a majority: to hear a leader is not enough,
-// its own messages may be lost on their way.
+// A follower is ready if the leader has recently granted it leases, which requires a majority. Messages from a leader
+// alone do not prove readiness, because the follower's own messages may be lost.
 auto control_node::ready() const -> bool {
-  return raft.is_leader() ? may_grant_leases() : host_.now() - leases_granted_at_ < settings_.failure_timeout;
+  return raft.is_leader() ? may_grant_leases() : host_.now() - last_granted_request_at_ < settings_.failure_timeout;
 }
 
-auto control_node::may_lease_to(const std::string& name) const -> bool {
+auto control_node::may_grant_lease_to(const std::string& name) const -> bool {
   if (raft.is_leader())
     return may_grant_leases();
   const auto* session = sessions_.find(name);
-  return session && session->lease_limit > host_.now();
+  return session && session->max_lease_end > host_.now();
 }
 
 auto control_node::handle_call(connection_ptr, value request) -> task<value> {
@@ -132,7 +135,7 @@
     co_return co_await raft.handle_request(name, std::move(request));
   const auto operation = find_control_operation(name);
   if (!operation)
-    throw request_error(errc::malformed, std::string(unknown_request) + name);
+    throw request_error(errc::malformed, std::string(unknown_request_prefix) + name);
   switch (*operation) {
     case control_operation::session: {
       auto reply = co_await on_session_request(decode_session_request(request));
@@ -171,9 +174,9 @@
     case control_operation::recreate_partition:
       co_return co_await on_recreate_partition(get_string(request, "cell"));
     case control_operation::drain:
-      co_return co_await decide(drain_order::from_value(request), get_int(request, "after"));
+      co_return co_await on_drain_order(drain_order::from_value(request), get_int(request, "after"));
     default:
-      co_return encode_agreed_state();
+      co_return encode_committed_state();
   }
 }
 
@@ -185,7 +188,7 @@
     try {
       co_await raft.call_leader(request, host_.now() + settings_.request_timeout);
     } catch (const request_error&) {
-      // The lease ends by itself.
+      // The lease expires without the leader's help.
     }
   }
   leases_.revoke(name);
@@ -195,12 +198,12 @@
 auto control_node::on_recreate_partition(const std::string& id) -> task<value> {
   if (!state.partitions.count(id))
     throw request_error(errc::not_found, "no cell " + id);
-  if (!all_lost(state.partitions[id]))
+  if (!all_replicas_lost(state.partitions[id]))
     throw request_error(errc::permission_denied, "not every copy of " + id + " is known to be lost");
   co_return co_await recreate_partition(id, true);
 }
 
-auto control_node::encode_agreed_state() const -> value {
+auto control_node::encode_committed_state() const -> value {
   return object{{"charter", state.configuration ? value(state.configuration->body()) : value()},
                 {"realm", state.take_snapshot()}};
 }
@@ -210,7 +213,7 @@
   try {
     co_return co_await raft.call_leader(std::move(request), host_.now() + settings_.request_timeout);
   } catch (const request_error& error) {
-    if (!error.message.starts_with(unknown_request))
+    if (!error.message.starts_with(unknown_request_prefix))
       throw;
   }
   throw request_error(errc::no_leader, "the leader is of an earlier version", execution_outcome::not_executed,
--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -1,3 +1,4 @@
+// Validates committed commands and applies them to the replicated state.
 #include "control/control_state.hpp"
 
 #include <algorithm>
@@ -8,7 +9,7 @@
 namespace reachridge {
 namespace {
 
-constexpr auto least_zones = std::int64_t{2};  // that the replicas of a partition are spread over
+constexpr auto min_zones = std::int64_t{2};  // minimum number of zones for the replicas of a partition
 
 auto version_error(errc code, const std::string& message, std::int64_t newest) -> request_error {
   return {code, message, execution_outcome::not_executed, -1, object{{"newest", newest}}};
@@ -33,23 +34,23 @@
   return out;
 }
 
-auto control_state::why_too_few(const node_zones& nodes, std::int64_t replicas) const -> std::string {
+auto control_state::insufficient_nodes_reason(const node_zones& nodes, std::int64_t replicas) const -> std::string {
   auto known_zones = std::set<std::string>();
   auto count = std::int64_t{0};
-  auto out_of_reach = std::int64_t{0};
+  auto unreachable_count = std::int64_t{0};
   for (const auto& [node, zone] : nodes) {
     if (drains.count(node))
       continue;
     ++count;
     if (zone.empty())
-      ++out_of_reach;
+      ++unreachable_count;
     else
       known_zones.insert(zone);
   }
   if (count < replicas)
     return std::to_string(count) + " combs would be left, " + std::to_string(replicas) + " are needed";
-  auto zones_at_most = static_cast<std::int64_t>(known_zones.size()) + out_of_reach;
-  if (zones_at_most < least_zones)
+  auto max_zone_count = static_cast<std::int64_t>(known_zones.size()) + unreachable_count;
+  if (max_zone_count < min_zones)
     return "the combs that would be left stand in one locality";
   return {};
 }
@@ -76,12 +77,12 @@
   }
 }
 
-// By compare-and-set on the number: a repeat changes nothing, what is not newer is refused.
+// Compare-and-set on the configuration number: a repeated configuration changes nothing, an older one is refused.
 auto control_state::apply_command(log_index index, const configuration_command& command) -> command_result {
   const auto& next = command.configuration;
   if (configuration && next->number == configuration->number) {
     if (next->same_content(*configuration))
-      return command_accepted{.configuration_number = next->number, .repeated = true};
+      return command_accepted{.configuration_number = next->number, .is_repeat = true};
     throw version_error(errc::version_taken,
                         "number " + std::to_string(next->number) + " is already used with other content", next->number);
   }
@@ -131,7 +132,7 @@
 auto control_state::apply_command(log_index index, const assignment_command& command) -> command_result {
   auto& current = partitions[command.partition];
   auto next = command.assignment;
-  if (auto reason = why_not_assign(current, next); !reason.empty())
+  if (auto reason = assignment_rejection_reason(current, next); !reason.empty())
     return command_superseded{reason, current};
   next.epoch = current.epoch + 1;
   next.recreated_epoch = current.recreated_epoch;
@@ -141,8 +142,8 @@
   return command_accepted{.assignment = current};
 }
 
-auto control_state::why_not_assign(const partition_assignment& current, const partition_assignment& next) const
-    -> std::string {
+auto control_state::assignment_rejection_reason(const partition_assignment& current,
+                                                const partition_assignment& next) const -> std::string {
   if (current.epoch != next.epoch)
     return "another epoch stands";
   if (next.primary.empty() || !next.is_in_sync(next.primary))
@@ -151,7 +152,7 @@
     return "copies want different nodes";
   if (current.epoch > 0 && !current.is_in_sync(next.primary))
     return "only a node in step may hold the cell";
-  // A retired node gets nothing again, also by a move that was under way when it was found empty.
+  // A retired node never receives a replica again, not even from a move that was in progress when its drain completed.
   auto on_retired_node =
       std::any_of(next.in_sync_replicas.begin(), next.in_sync_replicas.end(), [&](const auto& member) {
         return is_retired(node_of_member(member));
@@ -166,7 +167,7 @@
   return it != drains.end() && it->second.kind == drain_kind::retire && it->second.completed;
 }
 
-// Where messages are kept, only an operator may give them up.
+// Only an operator may accept the loss of retained messages.
 auto control_state::apply_command(log_index index, const recreation_command& command) -> command_result {
   const auto& id = command.partition;
   auto it = partitions.find(id);
@@ -176,7 +177,7 @@
   auto next = command.assignment;
   if (current.epoch != next.epoch)
     return command_superseded{"another epoch stands", current};
-  if (keeps_messages(id) && !command.forsakes_messages)
+  if (keeps_messages(id) && !command.accepts_message_loss)
     throw request_error(errc::permission_denied, id + " is of a kept space: founding it again forsakes what it kept");
   next.epoch = current.epoch + 1;
   next.recreated_epoch = next.epoch;
@@ -186,7 +187,7 @@
   return command_accepted{.assignment = current};
 }
 
-// A partition whose pool is not known may keep messages.
+// A partition of an unknown pool is assumed to retain messages.
 auto control_state::keeps_messages(const std::string& partition) const -> bool {
   if (!configuration)
     return true;
@@ -196,19 +197,19 @@
 
 auto control_state::apply_command(log_index index, const begin_drain_command& command) -> command_result {
   const auto& name = command.name;
-  drain_fence.admit(name, command.decided_at, index);
+  drain_fence.check_and_record(name, command.expected_last_order, index);
   if (!zone_of_key(name).empty() && command.kind != drain_kind::evacuate)
     throw request_error(errc::malformed, "a zone can only be evacuated");
   if (auto it = drains.find(name); it != drains.end()) {
     const auto& current = it->second;
     if (current.kind == command.kind)
-      return command_accepted{.repeated = true, .drain_completed = current.completed};
+      return command_accepted{.is_repeat = true, .drain_completed = current.completed};
     if (current.kind == drain_kind::retire)
       throw request_error(errc::version_taken, name + " is being retired already");
   }
-  // It was checked where the order was decided; two retirements may have been decided at the same time.
-  if (command.remaining) {
-    auto reason = why_too_few(*command.remaining, command.replicas);
+  // The leader has checked this when it decided the order, but two retirements may have been decided concurrently.
+  if (command.remaining_nodes) {
+    auto reason = insufficient_nodes_reason(*command.remaining_nodes, command.replicas);
     if (!reason.empty())
       throw request_error(errc::too_few_nodes, reason);
   }
@@ -218,10 +219,10 @@
 }
 
 auto control_state::apply_command(log_index index, const end_drain_command& command) -> command_result {
-  drain_fence.admit(command.name, command.decided_at, index);
+  drain_fence.check_and_record(command.name, command.expected_last_order, index);
   auto it = drains.find(command.name);
   if (it == drains.end())
-    return command_accepted{.repeated = true};
+    return command_accepted{.is_repeat = true};
   if (is_retired(command.name))
     throw request_error(errc::version_taken, command.name + " is retired");
   drains.erase(it);
@@ -230,15 +231,15 @@
 }
 
 auto control_state::apply_command(log_index index, const decline_drain_command& command) -> command_result {
-  drain_fence.admit(command.name, command.decided_at, index);
+  drain_fence.check_and_record(command.name, command.expected_last_order, index);
   return command_accepted{};
 }
 
 auto control_state::apply_command(log_index index, const complete_drain_command& command) -> command_result {
   const auto& name = command.name;
   auto it = drains.find(name);
-  auto node_drains = it != drains.end() && zone_of_key(name).empty();
-  if (!node_drains)
+  auto is_draining_node = it != drains.end() && zone_of_key(name).empty();
+  if (!is_draining_node)
     throw request_error(errc::not_found, name + " is not leaving");
   if (!partitions_of(name).empty())
     return command_superseded{"cells are left there"};
--- a/src/control/control_state_snapshot.cpp
+++ b/src/control/control_state_snapshot.cpp
@@ -1,4 +1,4 @@
-// The control state as a snapshot of the replicated log holds it, and back.
+// Encodes the control state as a snapshot of the replicated log and restores it.
 #include "control/control_state.hpp"
 #include "runtime/request_error.hpp"
 
@@ -25,7 +25,7 @@
                 {"orders", drain_fence.take_snapshot()}};
 }
 
-// A malformed snapshot throws before anything here changes.
+// Decodes into a temporary state, so that a malformed snapshot leaves this state unchanged.
 auto control_state::restore(const value& snapshot) -> void {
   auto next = control_state();
   if (!snapshot.is_null()) {
--- a/src/control/control_state_test.cpp
+++ b/src/control/control_state_test.cpp
@@ -1,9 +1,9 @@
-// The commands stand here in their encoded form, as logs hold them.
+// Tests of the replicated state. The commands are given in their encoded form, as logs contain them.
 #include "control/control_state.hpp"
 
 #include "runtime/request_error.hpp"
 
-// After all others: it redefines new.
+// This include must be the last one, because CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 namespace {
@@ -36,14 +36,14 @@
   return {{"k", "left"}, {"name", name}};
 }
 
-auto retire(const char* name, const object& remaining, int replicas = 2) -> object {
+auto retire(const char* name, const object& remaining_nodes, int replicas = 2) -> object {
   auto out = begin_drain(name, "retire");
-  out["rest"] = remaining;
+  out["rest"] = remaining_nodes;
   out["copies"] = replicas;
   return out;
 }
 
-// A control state with the answers to its commands as tests ask for them.
+// A control state with accessors for single fields of the results.
 struct state_under_test : control_state {
   auto accepts(log_index index, const object& command) -> bool {
     return get_bool(apply_encoded(index, command), "ok");
@@ -66,7 +66,7 @@
 
 TEST_GROUP(control_state_commands){};
 
-TEST(control_state_commands, one_claim_wins_and_only_in_step) {
+TEST(control_state_commands, one_of_two_assignments_wins_and_its_primary_must_be_in_sync) {
   auto state = state_under_test();
   CHECK(state.accepts(1, assignment(0, "x/1", "y/1", {"x/1", "y/1"})));
   CHECK_FALSE(state.accepts(2, assignment(1, "z/1", "y/1", {"z/1", "y/1"})));
@@ -76,7 +76,7 @@
   CHECK(restored_from(state.take_snapshot()).take_snapshot() == state.take_snapshot());
 }
 
-TEST(control_state_commands, a_kept_cell_is_founded_again_only_by_word) {
+TEST(control_state_commands, a_partition_with_retained_messages_is_recreated_only_if_loss_is_accepted) {
   auto state = state_under_test();
   state.apply_encoded(1, object{{"k", "charter"}, {"body", R"({"number":1,"spaces":[{"name":"a","keep_s":5}]})"}});
   state.apply_encoded(2, assignment(0, "x/1", "y/1", {"x/1", "y/1"}));
@@ -89,7 +89,7 @@
   LONGS_EQUAL(2, state.partitions["a/0"].recreated_epoch);
 }
 
-TEST(control_state_commands, configurations_by_compare_and_set) {
+TEST(control_state_commands, configurations_are_compared_and_set_by_number) {
   auto state = state_under_test();
   CHECK(state.accepts(1, configuration(5, "")));
   CHECK(state.repeats(2, configuration(5, "")));
@@ -100,7 +100,7 @@
   LONGS_EQUAL(9, state.configuration->number);
 }
 
-TEST(control_state_commands, done_is_said_only_when_nothing_is_left) {
+TEST(control_state_commands, a_drain_completes_only_when_the_node_holds_no_partition) {
   auto state = state_under_test();
   state.apply_encoded(1, assignment(0, "x/1", "y/1", {"x/1", "y/1"}));
   state.apply_encoded(2, begin_drain("y", "retire"));
@@ -110,7 +110,7 @@
   CHECK(state.drains["y"].completed);
 }
 
-TEST(control_state_commands, a_zone_is_evacuated_until_it_is_taken_back) {
+TEST(control_state_commands, an_evacuation_of_a_zone_lasts_until_it_is_ended) {
   auto state = state_under_test();
   auto key = zone_key("z1");
   STRCMP_EQUAL("z1", zone_of_key(key).c_str());
@@ -126,38 +126,39 @@
   LONGS_EQUAL(5, state.partitions_version.get());
 }
 
-// Each was checked before the other was there: the second is refused where they meet.
-TEST(control_state_commands, two_retirements_leave_enough_between_them) {
+// Two retirements that are decided concurrently each pass the leader's check. The second one must be refused when it is
+// applied.
+TEST(control_state_commands, concurrent_retirements_leave_enough_nodes) {
   auto state = state_under_test();
   STRCMP_EQUAL("too_few", state.error_code(1, retire("x", {{"y", "z2"}, {"w", "z3"}}, 3)).c_str());
   STRCMP_EQUAL("too_few", state.error_code(2, retire("x", {{"y", "z2"}, {"w", "z2"}})).c_str());
   CHECK(state.drains.empty());
-  CHECK(state.accepts(3, retire("x", {{"y", "z2"}, {"w", ""}})));  // out of reach, w may be in any zone
+  CHECK(state.accepts(3, retire("x", {{"y", "z2"}, {"w", ""}})));  // w is unreachable and may be in any zone
   STRCMP_EQUAL("too_few", state.error_code(4, retire("y", {{"x", "z1"}, {"w", "z3"}})).c_str());
   CHECK(state.repeats(5, retire("x", {})));
 }
 
-TEST(control_state_commands, a_retired_node_gets_nothing_again) {
+TEST(control_state_commands, a_retired_node_never_receives_a_replica) {
   auto state = state_under_test();
   state.apply_encoded(1, assignment(0, "x/1", "y/1", {"x/1", "y/1"}));
   state.apply_encoded(2, begin_drain("w", "retire"));
   CHECK(state.accepts(3, complete_drain("w")));
-  CHECK_FALSE(state.accepts(4, assignment(1, "x/1", "w/1", {"x/1", "w/1"})));  // the move began before
+  CHECK_FALSE(state.accepts(4, assignment(1, "x/1", "w/1", {"x/1", "w/1"})));  // from a move that began earlier
   CHECK(state.partitions_of("w").empty());
   CHECK(state.accepts(5, assignment(1, "x/1", "v/1", {"x/1", "v/1"})));
 }
 
-TEST(control_state_commands, an_order_is_carried_out_only_where_it_was_decided) {
+TEST(control_state_commands, an_order_is_applied_only_if_no_other_order_came_first) {
   auto state = state_under_test();
-  auto order = [&](const char* command, log_index decided_at) {
-    return object{{"k", command}, {"name", zone_key("z1")}, {"kind", "evacuate"}, {"after", decided_at.get()}};
+  auto order = [&](const char* command, log_index expected_last_order) {
+    return object{{"k", command}, {"name", zone_key("z1")}, {"kind", "evacuate"}, {"after", expected_last_order.get()}};
   };
   CHECK(state.accepts(1, order("leave", 0)));
   STRCMP_EQUAL("overtaken", state.error_code(2, order("stay", 0)).c_str());
   CHECK(state.accepts(3, order("stay", 1)));
   STRCMP_EQUAL("overtaken", state.error_code(4, order("leave", 0)).c_str());
   STRCMP_EQUAL("overtaken", state.error_code(5, order("leave", 1)).c_str());
-  CHECK(state.repeats(6, order("stay", 3)));  // it found nothing to do and counts all the same
+  CHECK(state.repeats(6, order("stay", 3)));  // the order changes nothing but is recorded in the fence
   STRCMP_EQUAL("overtaken", state.error_code(7, order("leave", 3)).c_str());
   CHECK(state.accepts(8, order("decline", 6)));
   STRCMP_EQUAL("overtaken", state.error_code(9, order("leave", 6)).c_str());
@@ -166,7 +167,7 @@
   CHECK(again.take_snapshot() == state.take_snapshot());
   STRCMP_EQUAL("overtaken", again.error_code(10, order("leave", 6)).c_str());
   CHECK(again.accepts(11, order("leave", 8)));
-  // A snapshot of a release without a fence.
+  // A snapshot from a release without a fence has no recorded orders.
   auto old = state.take_snapshot();
   old.as_object().erase("orders");
   again.restore(old);
--- a/src/control/drain_orders.cpp
+++ b/src/control/drain_orders.cpp
@@ -1,3 +1,4 @@
+// Parses and validates operators' drain orders.
 #include "control/drain_orders.hpp"
 
 #include <algorithm>
@@ -8,7 +9,7 @@
 
 constexpr auto max_name_bytes = std::size_t{100};
 constexpr auto order_fields = std::array<std::string_view, 4>{"name", "zone", "kind", "copies"};
-constexpr auto too_few_replicas = "copies wants a number above 0";
+constexpr auto invalid_replicas_message = "copies wants a number above 0";
 
 auto is_name_character(unsigned char character) -> bool {
   auto is_printable = character > ' ' && character < 127;
@@ -38,7 +39,7 @@
   if (replicas.is_null())
     return default_replicas;
   if (!replicas.is_int64() || replicas.get_int64() <= 0)
-    throw request_error(errc::malformed, too_few_replicas);
+    throw request_error(errc::malformed, invalid_replicas_message);
   return replicas.get_int64();
 }
 
@@ -52,33 +53,33 @@
 
 auto parse_drain_order(const http_request& request) -> drain_order {
   auto body = value(parse_body(request.body));
-  auto of_zone = get_value(body, "zone").is_string();
-  if (of_zone == get_value(body, "name").is_string())
+  auto targets_zone = get_value(body, "zone").is_string();
+  if (targets_zone == get_value(body, "name").is_string())
     throw request_error(errc::malformed, "either name or zone is wanted");
-  auto name = get_string(body, of_zone ? "zone" : "name");
+  auto name = get_string(body, targets_zone ? "zone" : "name");
   if (!is_node_name(name))
-    throw request_error(errc::malformed, "that is no name of a " + std::string(of_zone ? "zone" : "node"));
-  auto default_kind = of_zone ? drain_kind::evacuate : drain_kind::drain;
+    throw request_error(errc::malformed, "that is no name of a " + std::string(targets_zone ? "zone" : "node"));
+  auto default_kind = targets_zone ? drain_kind::evacuate : drain_kind::drain;
   auto order = drain_order();
-  order.begins = request.path != "/v1/stay";
-  order.name = of_zone ? zone_key(name) : name;
+  order.begins_drain = request.path != "/v1/stay";
+  order.name = targets_zone ? zone_key(name) : name;
   order.kind = parse_kind(get_string_or(body, "kind", to_string(default_kind)));
   order.replicas = parse_replicas(get_value(body, "copies"));
   return order;
 }
 
 auto drain_order::to_value() const -> value {
-  return object{{"begins", begins}, {"name", name}, {"kind", to_string(kind)}, {"copies", replicas}};
+  return object{{"begins", begins_drain}, {"name", name}, {"kind", to_string(kind)}, {"copies", replicas}};
 }
 
 auto drain_order::from_value(const value& encoded) -> drain_order {
   auto order = drain_order();
-  order.begins = get_bool(encoded, "begins");
+  order.begins_drain = get_bool(encoded, "begins");
   order.name = get_string(encoded, "name");
   order.kind = parse_drain_kind(get_string(encoded, "kind"));
   order.replicas = get_int(encoded, "copies");
   if (order.replicas < 1)
-    throw request_error(errc::malformed, too_few_replicas);
+    throw request_error(errc::malformed, invalid_replicas_message);
   return order;
 }
 
--- a/src/control/drain_service.cpp
+++ b/src/control/drain_service.cpp
@@ -1,5 +1,5 @@
-// How a control node carries operators' orders on drains out: the page takes an order, the leader decides it, the
-// replicated log applies it behind a fence (design 4.6).
+// Carries out operators' drain orders: the HTTP page accepts an order, the leader decides it, and the replicated log
+// applies it if the fence permits (design 4.6).
 #include <algorithm>
 #include <set>
 
@@ -16,48 +16,49 @@
   return !state.partitions_of(name).empty();
 }
 
-auto control_node::why_not_decommission(const drain_order& order, const node_zones& remaining) const
+auto control_node::retirement_rejection(const drain_order& order, const node_zones& remaining_nodes) const
     -> std::optional<request_error> {
   for (const auto& [id, assignment] : state.partitions) {
     if (!assignment.has_in_sync_replica_on(order.name))
       continue;
     const auto& replicas = assignment.in_sync_replicas;
-    auto has_other = std::any_of(replicas.begin(), replicas.end(), [&](const auto& member) {
+    auto has_other_replica = std::any_of(replicas.begin(), replicas.end(), [&](const auto& member) {
       return node_of_member(member) != order.name && is_live(member);
     });
-    if (!has_other)
+    if (!has_other_replica)
       return request_error(errc::last_replica,
                            order.name + " holds the last copy in step of " + id + " that is in reach",
                            execution_outcome::not_executed, settings_.failure_timeout / millisecond);
   }
-  auto reason = state.why_too_few(remaining, order.replicas);
+  auto reason = state.insufficient_nodes_reason(remaining_nodes, order.replicas);
   if (!reason.empty())
     return request_error(errc::too_few_nodes, reason);
   return {};
 }
 
-auto control_node::decide_drain(const drain_order& order, log_index decided_at) const -> drain_decision {
-  if (!order.begins)
-    return {end_drain_command{order.name, decided_at}, {}};
-  auto command = begin_drain_command{order.name, decided_at, order.kind, {}, order.replicas};
+auto control_node::decide_drain(const drain_order& order, log_index expected_last_order) const -> drain_decision {
+  if (!order.begins_drain)
+    return {end_drain_command{order.name, expected_last_order}, {}};
+  auto command = begin_drain_command{order.name, expected_last_order, order.kind, {}, order.replicas};
   auto refusal = std::optional<request_error>();
-  auto of_zone = !zone_of_key(order.name).empty();
+  auto targets_zone = !zone_of_key(order.name).empty();
   auto current = state.drains.find(order.name);
-  auto retires_already = current != state.drains.end() && current->second.kind == drain_kind::retire;
-  if (!of_zone && !knows_storage_node(order.name)) {
+  auto already_retiring = current != state.drains.end() && current->second.kind == drain_kind::retire;
+  if (!targets_zone && !knows_storage_node(order.name)) {
     refusal = request_error(errc::not_found, "no comb " + order.name + " is known");
-  } else if (order.kind == drain_kind::retire && !retires_already) {
-    command.remaining = nodes_without(order.name);
-    refusal = why_not_decommission(order, *command.remaining);
+  } else if (order.kind == drain_kind::retire && !already_retiring) {
+    command.remaining_nodes = nodes_remaining_without(order.name);
+    refusal = retirement_rejection(order, *command.remaining_nodes);
   }
   if (!refusal)
     return {command, {}};
-  return {decline_drain_command{order.name, decided_at, command.remaining, command.replicas}, refusal};
+  return {decline_drain_command{order.name, expected_last_order, command.remaining_nodes, command.replicas}, refusal};
 }
 
-// A refusal goes through the replicated log as well: orders decided before it must not be carried out after it.
-auto control_node::decide(const drain_order& order, log_index decided_at) -> task<value> {
-  auto decision = decide_drain(order, decided_at);
+// A refusal is committed to the replicated log as well, because orders that were decided earlier must not be applied
+// after it.
+auto control_node::on_drain_order(const drain_order& order, log_index expected_last_order) -> task<value> {
+  auto decision = decide_drain(order, expected_last_order);
   auto command = encode(decision.command);
   auto out = co_await propose(std::move(command));
   if (!get_bool(out, "ok"))
@@ -67,7 +68,7 @@
   co_return out;
 }
 
-auto control_node::order(const drain_order& order) -> task<value> {
+auto control_node::submit_drain_order(const drain_order& order) -> task<value> {
   auto request = order.to_value();
   request.as_object()["op"] = "leave";
   request.as_object()["after"] = state.drain_fence.index_of(order.name).get();
@@ -77,7 +78,7 @@
   co_return out;
 }
 
-auto control_node::partitions_left(const control_state& current, const std::string& name) const
+auto control_node::partitions_remaining_on(const control_state& current, const std::string& name) const
     -> std::set<std::string> {
   auto nodes = std::vector<std::string>();
   if (auto zone = zone_of_key(name); zone.empty()) {
@@ -98,11 +99,11 @@
   auto current = co_await read_state();
   auto rows = object();
   for (const auto& [name, drain] : current.drains) {
-    auto remaining = partitions_left(current, name);
-    auto of_zone = !zone_of_key(name).empty();
+    auto remaining_partitions = partitions_remaining_on(current, name);
+    auto targets_zone = !zone_of_key(name).empty();
     rows[name] = object{{"kind", to_string(drain.kind)},
-                        {"done", of_zone ? remaining.empty() : drain.completed},
-                        {"left", array(remaining.begin(), remaining.end())}};
+                        {"done", targets_zone ? remaining_partitions.empty() : drain.completed},
+                        {"left", array(remaining_partitions.begin(), remaining_partitions.end())}};
   }
   co_return http_response{200, rows, {}};
 }
@@ -120,25 +121,25 @@
     co_return co_await list_drains();
   auto requested = parse_drain_order(request);
   request.deadline = std::min(request.deadline, host_.now() + settings_.failure_timeout);
-  auto out = co_await order_until_decided(requested, request);
+  auto out = co_await submit_until_decided(requested, request);
   auto zone = zone_of_key(requested.name);
   auto is_unknown_zone = !zone.empty() && !zones().count(zone);
-  if (requested.begins && is_unknown_zone)
+  if (requested.begins_drain && is_unknown_zone)
     out.as_object()["warn"] = "no node of zone " + zone + " is known now";
   co_return http_response{200, out, {}};
 }
 
-auto control_node::order_until_decided(const drain_order& requested, const http_request& request) -> task<value> {
+auto control_node::submit_until_decided(const drain_order& requested, const http_request& request) -> task<value> {
   auto error = request_error(errc::superseded, "its caller waits no longer", execution_outcome::not_executed, 0);
   while (request.awaited(host_.now())) {
     try {
-      co_return co_await order(requested);
+      co_return co_await submit_drain_order(requested);
     } catch (const request_error& failure) {
       if (failure.code != errc::superseded)
         throw;
       error = failure;
     }
-    // The order that came first is applied here in a moment.
+    // Wait until this control node has applied the order that came first.
     auto retry_at = std::min(request.deadline, host_.now() + settings_.heartbeat_interval / 4);
     co_await changed_.wait(host_, retry_at);
   }
--- a/src/control/gossip.cpp
+++ b/src/control/gossip.cpp
@@ -1,5 +1,5 @@
-// The exchange of sessions between control nodes. The leader's answer lets the asker grant leases to the nodes whose
-// sessions it named, and to no others (design 5.1, 5.3).
+// Exchange of sessions between control nodes. The leader's reply permits the requesting control node to grant leases to
+// the nodes whose sessions the request named, and to no other nodes (design 5.1, 5.3).
 #include <algorithm>
 #include <utility>
 
@@ -15,7 +15,7 @@
 
 auto control_node::start_gossip() -> void {
   for (const auto& address : other_control_nodes())
-    if (gossiping_with_.insert(address).second)
+    if (gossip_peers_.insert(address).second)
       tasks_.spawn(gossip_with(address));
 }
 
@@ -25,7 +25,7 @@
     const auto round = co_await exchange_gossip(address, progress);
     co_await wait_for_next_round(address, progress, round);
   }
-  gossiping_with_.erase(address);
+  gossip_peers_.erase(address);
 }
 
 auto control_node::exchange_gossip(const std::string& address, gossip_progress& progress) -> task<gossip_round> {
@@ -35,12 +35,12 @@
   round.live_nodes = sessions_.live_nodes(round.sent_at, settings_.failure_timeout);
   try {
     auto request = build_gossip_request(round.live_nodes, progress);
-    const auto sent_version = request.table_version;
+    const auto sent_table_version = request.table_version;
     auto encoded = encode(std::move(request));
     const auto answer = co_await raft.peer(address).call(std::move(encoded), round.sent_at + settings_.request_timeout);
     round.answered = true;
     const auto reply = decode_gossip_reply(answer);
-    record_gossip_progress(reply, sent_version, round.live_nodes, progress);
+    record_gossip_progress(reply, sent_table_version, round.live_nodes, progress);
     round.granted = reply.grant.has_value();
     if (reply.grant)
       apply_lease_grant(*reply.grant, round);
@@ -71,9 +71,9 @@
   return request;
 }
 
-auto control_node::record_gossip_progress(const gossip_reply& reply, std::int64_t sent_version,
+auto control_node::record_gossip_progress(const gossip_reply& reply, std::int64_t sent_table_version,
                                           const served_versions& live_nodes, gossip_progress& progress) -> void {
-  progress.table_version = std::min(reply.table_version, sent_version);
+  progress.table_version = std::min(reply.table_version, sent_table_version);
   progress.accepts_deltas = reply.accepts_deltas;
   progress.live_nodes.reset();
   if (reply.live_nodes_version == progress.live_nodes_version)
@@ -81,44 +81,45 @@
 }
 
 auto control_node::apply_lease_grant(const gossip_lease_grant& grant, const gossip_round& round) -> void {
-  leases_granted_at_ = std::max(leases_granted_at_, round.sent_at);
-  moves_.clear();
+  last_granted_request_at_ = std::max(last_granted_request_at_, round.sent_at);
+  requested_moves_.clear();
   for (const auto& move : grant.placement_requests)
-    moves_.push_back(replica_move::from_value(move));
+    requested_moves_.push_back(replica_move::from_value(move));
   deadlines_.add(grant.versions.required, round.sent_at);
   deadlines_.merge(grant.versions.upcoming, round.sent_at);
-  newest_agreed_ = std::max({newest_agreed_, grant.versions.required, grant.versions.newest});
+  newest_committed_ = std::max({newest_committed_, grant.versions.required, grant.versions.newest});
   leased_partitions_version_ = std::max(leased_partitions_version_, grant.partitions_version);
   for (const auto& [name, served_version] : round.live_nodes) {
     auto* session = sessions_.find(name);
     if (!session)
       continue;
-    if (session->lease_limit < host_.now())
+    if (session->max_lease_end < host_.now())
       changed_.wake();
-    session->lease_limit = std::max(session->lease_limit, round.sent_at + settings_.lease_duration);
+    session->max_lease_end = std::max(session->max_lease_end, round.sent_at + settings_.lease_duration);
   }
 }
 
 auto control_node::wait_for_next_round(const std::string& address, const gossip_progress& progress,
                                        const gossip_round& round) -> task<void> {
-  const auto same_leader = [&] {
+  const auto leader_unchanged = [&] {
     return raft.leader_address() == round.leader;
   };
-  // A new leader is asked at once, and one that is not sure of its majority yet soon again: all leases wait for it.
+  // A new leader gets a request immediately. A leader that has not yet confirmed its quorum gets the next one soon,
+  // because all leases depend on its grant.
   const auto leader_granted_nothing = round.answered && !round.granted && address == raft.leader_address();
   const auto interval = leader_granted_nothing ? settings_.heartbeat_interval / 4 : settings_.heartbeat_interval;
   const auto deadline = round.sent_at + interval;
   auto table_version = sessions_.table().version;
-  while (host_.now() < deadline && same_leader() && (!round.answered || table_version == progress.table_version)) {
+  while (host_.now() < deadline && leader_unchanged() && (!round.answered || table_version == progress.table_version)) {
     const auto woken = co_await changed_.wait(host_, deadline);
     table_version = sessions_.table().version;
     if (!woken)
       break;
   }
-  // What changes together is sent together.
+  // A short delay combines changes that follow each other closely.
   const auto earliest = round.sent_at + settings_.heartbeat_interval / 2;
   const auto may_wait = round.granted || address != round.leader;
-  if (host_.now() < earliest && same_leader() && may_wait)
+  if (host_.now() < earliest && leader_unchanged() && may_wait)
     co_await sleep_until(host_, earliest);
 }
 
@@ -141,13 +142,13 @@
   return reply;
 }
 
-// The list of live nodes travels only when it changes, but each request renews it. One that was overtaken on its way
-// changes nothing.
+// A request contains the list of live nodes only if the list has changed, but every request renews the list. A request
+// that arrives after a newer one does not change the list.
 auto control_node::record_live_nodes(const gossip_request& request, peer_sessions& peer) -> void {
   if (!request.live_nodes)
     return;
-  const auto unnumbered = request.live_nodes_version == 0;
-  if (unnumbered || request.live_nodes_version > peer.live_nodes_version) {
+  const auto is_unnumbered = request.live_nodes_version == 0;
+  if (is_unnumbered || request.live_nodes_version > peer.live_nodes_version) {
     peer.live_nodes_version = request.live_nodes_version;
     peer.live_nodes = *request.live_nodes;
   }
@@ -156,8 +157,8 @@
 auto control_node::record_loads(const std::map<std::string, std::int64_t>& loads, cluster_view::session_table& table)
     -> void {
   for (const auto& [name, load] : loads)
-    if (auto row = table.rows.find(name); row != table.rows.end())
-      row->second.load = load;
+    if (auto table_row = table.rows.find(name); table_row != table.rows.end())
+      table_row->second.load = load;
 }
 
 auto control_node::grant_leases_through(const peer_sessions& peer, bool with_deadlines) -> gossip_lease_grant {
@@ -165,7 +166,7 @@
   for (const auto& [name, served_version] : peer.live_nodes)
     leases_.grant(name, now + settings_.lease_duration, served_version);
   auto grant = gossip_lease_grant();
-  for (const auto& move : moves_)
+  for (const auto& move : requested_moves_)
     grant.placement_requests.push_back(move.to_value());
   grant.versions = version_requirements_from(now, with_deadlines);
   grant.partitions_version = state.partitions_version.get();
--- a/src/control/gossip_state.hpp
+++ b/src/control/gossip_state.hpp
@@ -1,4 +1,4 @@
-// What this control node keeps of each other one that it exchanges sessions with (design 5.1).
+// The state that a control node keeps for each control node with which it exchanges sessions (design 5.1).
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -8,28 +8,28 @@
 
 namespace reachridge {
 
-// How far another control node follows this one's sessions, as its last reply says; forgotten when a request fails,
-// since that control node may have been started again.
+// What another control node has received of this node's sessions, according to its last reply. A failed request resets
+// this information, because the other control node may have restarted.
 struct gossip_progress {
-  std::int64_t table_version = -1;            // the version of this control node's table that it holds
-  bool accepts_deltas = false;                // it can merge changes since a version
-  std::optional<served_versions> live_nodes;  // the list that it holds under `live_nodes_version`
+  std::int64_t table_version = -1;            // version of this node's session table that the other node holds
+  bool accepts_deltas = false;                // the other node can merge the changes since a version
+  std::optional<served_versions> live_nodes;  // the list that the other node holds under `live_nodes_version`
   std::int64_t live_nodes_version = 0;
-  int rounds = 0;  // begun so far
+  int rounds = 0;  // number of rounds started
 };
 
-// One request to another control node.
+// One gossip request to another control node.
 struct gossip_round {
   monotonic_time sent_at = 0;
-  std::string leader;          // the leader's address when it was sent
-  served_versions live_nodes;  // the sessions that it named
+  std::string leader;          // address of the leader when the request was sent
+  served_versions live_nodes;  // nodes whose sessions the request named
   bool answered = false;
-  bool granted = false;  // the answer lets this control node grant leases to these sessions
+  bool granted = false;  // the reply allows this control node to grant leases to these nodes
 };
 
-// What another control node has sent of its sessions, besides its table in the cluster view.
+// What another control node has reported about its sessions, in addition to its table in the cluster view.
 struct peer_sessions {
-  monotonic_time last_contact = 0;  // when its last request came
+  monotonic_time last_contact = 0;  // when the last request from the other node arrived
   std::int64_t live_nodes_version = 0;
   served_versions live_nodes;
 };
--- a/src/control/lease_table.hpp
+++ b/src/control/lease_table.hpp
@@ -1,4 +1,4 @@
-// The leader's record of the leases that run (design 5.3).
+// The leader's table of leases that are still valid (design 5.3).
 #pragma once
 #include <map>
 #include <string>
@@ -8,21 +8,24 @@
 
 namespace reachridge {
 
-// Which nodes may hold a lease, until when, and the version that each last said it serves. The leader alone fills it,
-// for its own sessions and for those of the followers that it lets grant leases. A lease's end never moves back.
+// Records which nodes may hold a lease, the end of each lease, and the configuration version that each node last
+// reported to serve. Only the leader fills the table: for the nodes of its own sessions and for those of followers that
+// may grant leases on its behalf. The end of a lease never moves back.
 class lease_table {
  public:
+  // Records a lease until `expires_at`, or keeps the current end if that is later.
   auto grant(const std::string& name, monotonic_time expires_at, configuration_version served_version) -> void;
-  // The node has said that it serves no more.
+  // Removes the lease of a node that has reported that it no longer serves.
   auto revoke(const std::string& name) -> void {
     leases_.erase(name);
   }
+  // Removes all leases. The control node calls this when the leader changes.
   auto clear() -> void {
     leases_.clear();
   }
-  // Forgets leases that have ended.
+  // Removes the leases that ended before `now`.
   auto remove_expired(monotonic_time now) -> void;
-  // The nodes with a lease that serve a version older than `version`.
+  // Returns the nodes that hold a lease at `now` and serve a version older than `version`.
   [[nodiscard]] auto holders_below(configuration_version version, monotonic_time now) const -> std::vector<std::string>;
 
  private:
@@ -30,7 +33,7 @@
     monotonic_time expires_at = 0;
     configuration_version served_version = 0;
   };
-  std::map<std::string, lease> leases_;  // by the node's name
+  std::map<std::string, lease> leases_;  // key: name of the node
 };
 
 }  // namespace reachridge
--- a/src/control/lease_table_test.cpp
+++ b/src/control/lease_table_test.cpp
@@ -1,6 +1,7 @@
+// Tests of the table of valid leases.
 #include "control/lease_table.hpp"
 
-// After all others: it redefines new.
+// This include must be the last one, because CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 namespace {
@@ -9,7 +10,7 @@
 }  // namespace
 
 TEST_GROUP(leases){};
-TEST(leases, a_node_that_serves_an_older_version_is_waited_for_while_its_lease_runs) {
+TEST(leases, a_holder_of_an_older_version_is_listed_until_its_lease_ends) {
   auto leases = lease_table();
   leases.grant("a", 100, 4);
   leases.grant("b", 100, 5);
@@ -18,18 +19,18 @@
   leases.grant("a", 100, 5);
   CHECK(leases.holders_below(5, 99).empty());
 }
-TEST(leases, an_end_never_moves_back) {
+TEST(leases, the_end_of_a_lease_never_moves_back) {
   auto leases = lease_table();
   leases.grant("a", 100, 4);
   leases.grant("a", 50, 4);
   CHECK(leases.holders_below(5, 99) == names{"a"});
 }
-TEST(leases, a_lease_ends_by_its_time_by_revocation_or_with_the_leader) {
+TEST(leases, a_lease_ends_by_expiry_revocation_or_clearing_of_the_table) {
   auto leases = lease_table();
   for (const auto* name : {"a", "b", "c"})
     leases.grant(name, 100, 4);
   leases.revoke("a");
-  leases.remove_expired(100);  // still the last moment
+  leases.remove_expired(100);  // the leases end exactly now and are kept
   CHECK(leases.holders_below(5, 0) == (names{"b", "c"}));
   leases.remove_expired(101);
   CHECK(leases.holders_below(5, 0).empty());
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -1,3 +1,4 @@
+// Main program of a control node.
 #include "runtime/daemon.hpp"
 
 #include "control/control_node.hpp"
--- a/src/control/order_fence.hpp
+++ b/src/control/order_fence.hpp
@@ -1,4 +1,5 @@
-// Fences operators' orders: one that its sender gave up must not be carried out after a newer one (design 4.6).
+// A fence for operators' orders: an order that its sender has abandoned must not be carried out after a newer order
+// (design 4.6).
 #pragma once
 #include <cstddef>
 #include <map>
@@ -10,31 +11,33 @@
 
 namespace reachridge {
 
-// A part of the replicated state. An order on a name (a node or a zone) carries the log index of the last order on that
-// name that was known where it was decided. It is applied only if that index is still the last: compare-and-set. The
-// index of a name never goes down, also after the name's row has left the table, so an index that was once seen never
-// returns.
+// Part of the replicated state. An order on a name (a node or a zone) carries the log index of the last order on that
+// name that the deciding node knew. The order is applied only if this index is still the last one (compare-and-set).
+// The index of a name never decreases, even after the name has been evicted from the table. An index that was replaced
+// therefore never becomes valid again.
 class order_fence {
  public:
-  static constexpr auto max_names = std::size_t{1024};  // rows kept; the oldest is merged into the floor
+  static constexpr auto max_names = std::size_t{1024};  // names kept; the oldest one is evicted and raises the floor
 
-  // The log index of the last order on `name`, or the floor if none is remembered.
+  // Returns the log index of the last order on `name`, or the floor if the table does not contain the name.
   [[nodiscard]] auto index_of(const std::string& name) const -> log_index;
-  // Throws request_error(errc::superseded) if an order that was decided at `decided_at` is not the next one on `name`.
-  // An order of a release without a fence carries no index and passes.
-  auto check(const std::string& name, const std::optional<log_index>& decided_at) const -> void;
-  // Remembers an order that was applied at log index `index`, whether or not it changed anything.
-  auto record(const std::string& name, const std::optional<log_index>& decided_at, log_index index) -> void;
-  // Checks an order and, if it passes, remembers it.
-  auto admit(const std::string& name, const std::optional<log_index>& decided_at, log_index index) -> void;
+  // Throws request_error(errc::superseded) if `expected_last_order` is not the index of the last order on `name`. An
+  // order from a release without a fence carries no index and always passes.
+  auto check(const std::string& name, const std::optional<log_index>& expected_last_order) const -> void;
+  // Records an order that was applied at log index `index`, even if the order changed nothing.
+  auto record(const std::string& name, const std::optional<log_index>& expected_last_order, log_index index) -> void;
+  // Checks an order and records it if it passes. Throws the same error as `check`.
+  auto check_and_record(const std::string& name, const std::optional<log_index>& expected_last_order, log_index index)
+      -> void;
 
+  // Returns the complete fence in the form that `restore` accepts.
   [[nodiscard]] auto take_snapshot() const -> value;
-  // Null: a snapshot of a release without a fence.
+  // Returns the fence of a snapshot. A null snapshot comes from a release without a fence and yields an empty fence.
   static auto restore(const value& snapshot) -> order_fence;
 
  private:
-  std::map<std::string, log_index> last_;
-  log_index floor_ = 0;  // no name without a row had its last order after this index
+  std::map<std::string, log_index> last_orders_;
+  log_index floor_ = 0;  // at least the index of the last order on every name that is not in the table
 };
 
 }  // namespace reachridge
--- a/src/control/order_fence_test.cpp
+++ b/src/control/order_fence_test.cpp
@@ -1,17 +1,18 @@
+// Tests of the fence for operators' orders.
 #include "control/order_fence.hpp"
 
 #include "runtime/request_error.hpp"
 
-// After all others: it redefines new.
+// This include must be the last one, because CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 namespace {
 
 using namespace reachridge;
 
-auto passes(const order_fence& fence, const std::string& name, log_index decided_at) -> bool {
+auto passes(const order_fence& fence, const std::string& name, log_index expected_last_order) -> bool {
   try {
-    fence.check(name, decided_at);
+    fence.check(name, expected_last_order);
   } catch (const request_error& error) {
     STRCMP_EQUAL("overtaken", error.code_text().c_str());
     LONGS_EQUAL(fence.index_of(name), get_int(error.details, "after"));
@@ -24,40 +25,40 @@
 
 TEST_GROUP(order_fences){};
 
-TEST(order_fences, only_what_was_decided_at_the_last_order_passes) {
+TEST(order_fences, an_order_passes_only_with_the_index_of_the_last_order) {
   auto fence = order_fence();
   CHECK(passes(fence, "a", 0));
   fence.record("a", 0, 7);
   CHECK(!passes(fence, "a", 0));
   CHECK(passes(fence, "a", 7));
   CHECK(!passes(fence, "a", 8));
-  CHECK(passes(fence, "b", 0));  // each name by itself
+  CHECK(passes(fence, "b", 0));  // each name has its own index
 }
 
-TEST(order_fences, a_forgotten_name_does_not_return_to_an_index_it_had) {
+TEST(order_fences, an_evicted_name_does_not_return_to_an_earlier_index) {
   auto fence = order_fence();
   fence.record("first", 0, 1);
   for (auto i = std::size_t{0}; i < order_fence::max_names; ++i)
     fence.record("n" + std::to_string(i), 0, log_index(static_cast<std::int64_t>(i)) + 2);
-  LONGS_EQUAL(1, fence.index_of("first"));  // merged into the floor
+  LONGS_EQUAL(1, fence.index_of("first"));  // evicted, so the floor applies
   LONGS_EQUAL(1, fence.index_of("unheard"));
   CHECK(!passes(fence, "first", 0));
   CHECK(!passes(fence, "unheard", 0));
   CHECK(passes(fence, "first", 1));
 }
 
-TEST(order_fences, a_snapshot_is_the_whole_state) {
+TEST(order_fences, a_snapshot_contains_the_whole_state) {
   auto fence = order_fence();
   for (auto i = std::size_t{0}; i < order_fence::max_names + 5; ++i)
     fence.record("n" + std::to_string(i), 0, log_index(static_cast<std::int64_t>(i)) + 1);
   auto again = order_fence::restore(fence.take_snapshot());
   CHECK(again.take_snapshot() == fence.take_snapshot());
   LONGS_EQUAL(5, again.index_of("n0"));
-  // Of a release without a fence.
+  // The snapshot of a release without a fence is null.
   CHECK(order_fence::restore(nullptr).take_snapshot() == order_fence().take_snapshot());
 }
 
-TEST(order_fences, commands_of_a_version_without_a_fence_pass_and_leave_no_trace) {
+TEST(order_fences, orders_from_a_release_without_a_fence_pass_and_are_not_recorded) {
   auto fence = order_fence();
   fence.record("a", 0, 3);
   fence.check("a", std::nullopt);
@@ -65,9 +66,9 @@
   LONGS_EQUAL(3, fence.index_of("a"));
 }
 
-TEST(order_fences, an_order_that_does_not_pass_is_not_remembered) {
+TEST(order_fences, a_refused_order_is_not_recorded) {
   auto fence = order_fence();
-  fence.admit("a", 0, 3);
-  CHECK_THROWS(request_error, fence.admit("a", 0, 4));
+  fence.check_and_record("a", 0, 3);
+  CHECK_THROWS(request_error, fence.check_and_record("a", 0, 4));
   LONGS_EQUAL(3, fence.index_of("a"));
 }
--- a/src/control/pages.cpp
+++ b/src/control/pages.cpp
@@ -1,4 +1,4 @@
-// The HTTP pages of the control node for operators (docs/api.md): one function a page.
+// HTTP pages of the control node for operators (docs/api.md), with one function per page.
 #include <algorithm>
 
 #include "control/control_node.hpp"
@@ -13,11 +13,11 @@
   return {200, std::move(body), {}};
 }
 
-auto no_page(const std::string& path) -> request_error {
+auto page_not_found(const std::string& path) -> request_error {
   return {errc::not_found, "no page " + path};
 }
 
-// The answer to a command; throws what it was refused for.
+// Returns the HTTP response for the result of a command. Throws the request_error of a refused command.
 auto accepted_response(value answer) -> http_response {
   if (!get_bool(answer, "ok"))
     throw request_error::from_value(answer);
@@ -54,7 +54,7 @@
     co_return co_await recreation_page(std::move(request));
   if (path == "/v1/leave" || path == "/v1/stay")
     co_return co_await drain_page(std::move(request));
-  throw no_page(path);
+  throw page_not_found(path);
 }
 
 auto control_node::ready_page() const -> http_response {
@@ -65,14 +65,14 @@
 }
 
 auto control_node::members_page() const -> http_response {
-  auto rows = array();
+  auto encoded_nodes = array();
   for (const auto& [source, table] : view_.session_tables)
     for (const auto& [name, node] : table.rows) {
-      auto row = node.to_value();
-      row.as_object()["queen"] = source;
-      rows.push_back(std::move(row));
+      auto encoded = node.to_value();
+      encoded.as_object()["queen"] = source;
+      encoded_nodes.push_back(std::move(encoded));
     }
-  return ok_response(std::move(rows));
+  return ok_response(std::move(encoded_nodes));
 }
 
 auto control_node::voters_page() -> task<http_response> {
@@ -95,7 +95,7 @@
   if (request.path == in_force_path && is_read)
     co_return co_await in_force_page(std::move(request));
   if (request.path != configuration_path)
-    throw no_page(request.path);
+    throw page_not_found(request.path);
   if (is_read)
     co_return co_await read_configuration_page();
   if (!is_write)
@@ -130,13 +130,13 @@
         new_partitions.emplace_back(id);
     }
   auto plan = object{{"dry", true}, {"number", next.number}, {"cells_to_place", std::move(new_partitions)}};
-  if (auto warning = missing_zones(next); !warning.empty())
+  if (auto warning = zone_warning(next); !warning.empty())
     plan["warn"] = warning;
   return plan;
 }
 
 auto control_node::submit_configuration(compiled_configuration_ptr next) -> task<http_response> {
-  auto warning = missing_zones(*next);
+  auto warning = zone_warning(*next);
   auto command = encode(configuration_command{configuration_record::from_compiled(next)});
   auto answer = co_await propose(std::move(command));
   auto response = accepted_response(std::move(answer));
@@ -145,23 +145,23 @@
   co_return response;
 }
 
-// No refusal: a configuration is valid whatever storage nodes there are, and partitions are assigned once there is room
-// for them.
-auto control_node::missing_zones(const compiled_configuration& next) const -> std::string {
+// This is only a warning: a configuration is valid regardless of the current storage nodes, and its partitions are
+// assigned as soon as suitable nodes exist.
+auto control_node::zone_warning(const compiled_configuration& next) const -> std::string {
   auto zones = std::set<std::string>();
   for (const auto& [name, node] : view_.nodes()) {
-    auto takes_replicas = node.kind == "comb" && !node.disk_id.empty() && !state.drains.count(name);
-    if (takes_replicas)
+    auto can_hold_replicas = node.kind == "comb" && !node.disk_id.empty() && !state.drains.count(name);
+    if (can_hold_replicas)
       zones.insert(node.zone);
   }
   if (zones.size() >= 2)
     return {};
-  auto kept = std::find_if(next.spaces.begin(), next.spaces.end(), [](const auto& space) {
+  auto retaining_space = std::find_if(next.spaces.begin(), next.spaces.end(), [](const auto& space) {
     return space.second.keep_ms != 0;
   });
-  if (kept == next.spaces.end())
+  if (retaining_space == next.spaces.end())
     return {};
-  return "space '" + kept->first + "' is kept: that wants combs with disks in two localities, and " +
+  return "space '" + retaining_space->first + "' is kept: that wants combs with disks in two localities, and " +
          std::to_string(zones.size()) + " has or have one now";
 }
 
--- a/src/control/placement_codec.cpp
+++ b/src/control/placement_codec.cpp
@@ -1,20 +1,20 @@
-// Messages of placement as values, and back. No other file knows the names of their fields.
+// Encodes and decodes placement messages. Only this file knows the names of the encoded fields.
 #include "control/placement_policy.hpp"
 #include "control/replica_move.hpp"
 
 namespace reachridge {
 
 auto replica_move::to_value() const -> value {
-  return object{{"cell", partition},    {"prim", primary},     {"back", backup},
-                {"replaced", replaced}, {"lead", new_primary}, {"hand", hands_over()}};
+  return object{{"cell", partition},           {"prim", primary},     {"back", new_backup},
+                {"replaced", replaced_backup}, {"lead", new_primary}, {"hand", hands_over()}};
 }
 
 auto replica_move::from_value(const value& encoded) -> replica_move {
   auto out = replica_move();
   out.partition = get_string(encoded, "cell");
   out.primary = get_string(encoded, "prim");
-  out.backup = get_string(encoded, "back");
-  out.replaced = get_string_or(encoded, "replaced");
+  out.new_backup = get_string(encoded, "back");
+  out.replaced_backup = get_string_or(encoded, "replaced");
   out.new_primary = get_string_or(encoded, "lead");
   return out;
 }
--- a/src/control/placement_policy_test.cpp
+++ b/src/control/placement_policy_test.cpp
@@ -1,6 +1,7 @@
+// Tests of the choice of nodes for replicas and of load balancing.
 #include "control/placement_policy.hpp"
 
-// After all others: it redefines new.
+// This include must be the last one, because CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 namespace {
@@ -23,7 +24,7 @@
   return out;
 }
 
-// The first of the nodes is the primary.
+// Returns an assignment with the first node as the primary.
 auto assigned(const std::vector<std::string>& nodes) -> partition_assignment {
   auto out = partition_assignment();
   out.epoch = 1;
@@ -54,7 +55,7 @@
   STRCMP_EQUAL("b a c ", names(by_load).c_str());
   STRCMP_EQUAL("b c ", names(choose_replicas(by_load, 2)).c_str());
   STRCMP_EQUAL("b c a ", names(choose_replicas(by_load, 3)).c_str());
-  STRCMP_EQUAL("b c a ", names(choose_replicas(by_load, 4)).c_str());  // as many as there are
+  STRCMP_EQUAL("b c a ", names(choose_replicas(by_load, 4)).c_str());  // there are only three nodes
   CHECK(choose_replicas({node("a", "z1"), node("b", "z1")}, 2).empty());
 }
 
@@ -76,14 +77,14 @@
   CHECK(!choose_backup({"z1", {"a/1"}, {}, "p/0"}, {{"z1", 1}}, nodes, {}));
 }
 
-TEST(placement_policy, a_backup_moves_before_a_primary) {
+TEST(placement_policy, moving_a_backup_is_preferred_to_moving_a_primary) {
   auto nodes = table({node("a", "z1"), node("b", "z2"), node("c", "z2")});
   auto partitions = partition_table{{"p/0", assigned({"a", "b"})}, {"p/1", assigned({"b", "a"})}};
   STRCMP_EQUAL(R"({"cell":"p/0","prim":"a","back":"c","replaced":"b","lead":"","hand":false})",
                move_of(partitions, nodes).c_str());
 }
 
-TEST(placement_policy, a_primary_is_handed_over_where_no_backup_can_move) {
+TEST(placement_policy, the_primary_role_is_transferred_if_no_backup_can_move) {
   auto nodes = table({node("a", "z1"), node("b", "z2")});
   auto partitions =
       partition_table{{"p/0", assigned({"a", "b"})}, {"p/1", assigned({"a", "b"})}, {"p/2", assigned({"a", "b"})}};
@@ -91,22 +92,22 @@
                move_of(partitions, nodes).c_str());
 }
 
-TEST(placement_policy, replicas_stay_in_as_many_zones) {
+TEST(placement_policy, a_move_does_not_reduce_the_number_of_zones) {
   auto nodes = table({node("a", "z1"), node("b", "z2"), node("c", "z1")});
   auto partitions =
       partition_table{{"p/0", assigned({"a", "b"})}, {"p/1", assigned({"a", "b"})}, {"p/2", assigned({"b", "a"})}};
-  // c is in the zone of the primary a: only the backup on a can move there.
+  // Node c is in the same zone as node a, so only a backup on node a can move to node c.
   STRCMP_EQUAL(R"({"cell":"p/2","prim":"b","back":"c","replaced":"a","lead":"","hand":false})",
                move_of(partitions, nodes).c_str());
 }
 
 TEST(placement_policy, a_partition_that_lacks_a_replica_does_not_move) {
-  auto nodes = table({node("a", "z1"), node("c", "z2")});  // b is gone
+  auto nodes = table({node("a", "z1"), node("c", "z2")});  // node b has no session
   auto partitions = partition_table{{"p/0", assigned({"a", "b"})}, {"p/1", assigned({"a", "b"})}};
   STRCMP_EQUAL("none", move_of(partitions, nodes).c_str());
 }
 
-TEST(placement_policy, even_loads_stay_as_they_are) {
+TEST(placement_policy, equal_loads_cause_no_move) {
   auto nodes = table({node("a", "z1"), node("b", "z2")});
   auto partitions = partition_table{{"p/0", assigned({"a", "b"})}, {"p/1", assigned({"b", "a"})}};
   STRCMP_EQUAL("none", move_of(partitions, nodes).c_str());
--- a/src/control/replica_move.hpp
+++ b/src/control/replica_move.hpp
@@ -1,4 +1,4 @@
-// What the leader requests of the primary of a partition to even out load (design 5.6).
+// The leader's request to the primary of a partition to move a replica for load balancing (design 5.6).
 #pragma once
 #include <string>
 
@@ -6,19 +6,22 @@
 
 namespace reachridge {
 
-// Either another backup in the place of one that the partition has, or a hand-over to one of its backups. Nodes are
-// meant by name.
+// Either replaces one backup of the partition by another node or transfers the primary role to an existing backup. All
+// nodes are given by name.
 struct replica_move {
   std::string partition;
-  std::string primary;      // to whom the request goes
-  std::string backup;       // the node that is to become a backup; empty: hand over
-  std::string replaced;     // the backup whose place it takes
-  std::string new_primary;  // the backup to hand over to
+  std::string primary;          // the node that receives the request
+  std::string new_backup;       // the node that becomes a backup; empty if the primary role is transferred
+  std::string replaced_backup;  // the backup that `new_backup` replaces
+  std::string new_primary;      // the backup that becomes the primary
 
+  // Whether the move transfers the primary role.
   [[nodiscard]] auto hands_over() const -> bool {
-    return backup.empty();
+    return new_backup.empty();
   }
+  // Returns the encoded message.
   [[nodiscard]] auto to_value() const -> value;
+  // Throws decode_error if `encoded` lacks a mandatory field.
   static auto from_value(const value& encoded) -> replica_move;
 };
 
--- a/src/control/session_registry.cpp
+++ b/src/control/session_registry.cpp
@@ -6,7 +6,7 @@
 namespace reachridge {
 namespace {
 
-constexpr auto updates_bits = 32;  // a start's versions: its boot id above this many bits for the update's number
+constexpr auto update_number_bits = 32;  // a version is the boot id followed by an update number of this many bits
 
 }  // namespace
 
@@ -14,7 +14,7 @@
   source_ = std::move(source);
   boot_id_ = boot_id;
   auto& own_table = table();
-  own_table.version = own_table.delta_floor = boot_id_ << updates_bits;
+  own_table.version = own_table.delta_floor = boot_id_ << update_number_bits;
 }
 
 auto session_registry::find(const std::string& name) -> node_session* {
@@ -35,10 +35,10 @@
 }
 
 auto session_registry::next_table_version() -> std::int64_t {
-  return (boot_id_ << updates_bits) + ++table_updates_;
+  return (boot_id_ << update_number_bits) + ++table_updates_;
 }
 auto session_registry::next_live_nodes_version() -> std::int64_t {
-  return (boot_id_ << updates_bits) + ++live_nodes_updates_;
+  return (boot_id_ << update_number_bits) + ++live_nodes_updates_;
 }
 
 auto session_registry::record_heartbeat(const session_request& request, monotonic_time now) -> bool {
@@ -46,15 +46,15 @@
   auto& session = sessions_[node.name];
   session.last_contact = now;
   session.served_version = request.served_version;
-  auto same_but_load = node;
-  same_but_load.load = session.node.load;
+  auto node_with_old_load = node;
+  node_with_old_load.load = session.node.load;
   auto& own_table = table();
-  auto row = own_table.rows.find(node.name);
-  auto changed = row == own_table.rows.end() || same_but_load.to_value() != session.node.to_value();
+  auto own_row = own_table.rows.find(node.name);
+  auto changed = own_row == own_table.rows.end() || node_with_old_load.to_value() != session.node.to_value();
   if (changed)
     own_table.upsert(node, next_table_version());
   else
-    row->second.load = node.load;
+    own_row->second.load = node.load;
   session.node = node;
   return changed;
 }
@@ -66,7 +66,7 @@
   return true;
 }
 
-auto session_registry::remove_silent(monotonic_time now, monotonic_time timeout) -> std::vector<std::string> {
+auto session_registry::remove_timed_out(monotonic_time now, monotonic_time timeout) -> std::vector<std::string> {
   auto silent = std::vector<std::string>();
   for (const auto& [name, session] : sessions_)
     if (now - session.last_contact > timeout)
@@ -76,7 +76,7 @@
   return silent;
 }
 
-auto session_registry::excuse_pause(monotonic_time now, monotonic_time pause) -> void {
+auto session_registry::extend_for_pause(monotonic_time now, monotonic_time pause) -> void {
   for (auto& [name, session] : sessions_)
     session.last_contact = std::min(now, session.last_contact + pause);
 }
--- a/src/control/session_service.cpp
+++ b/src/control/session_service.cpp
@@ -1,5 +1,4 @@
-// Answers to nodes' heartbeats, the versions and leases that come with them, and the end of silent sessions (design 5.1
-// to 5.3).
+// Answers nodes' heartbeats with configuration versions and leases, and ends silent sessions (design 5.1 to 5.3).
 #include <algorithm>
 #include <utility>
 
@@ -10,16 +9,17 @@
 namespace reachridge {
 namespace {
 
-// Of the lease, which is what a version may take to come into force everywhere: how finely versions are timed, and
-// how often at most a node is sent one. A node so has several tries at each.
+// The lease duration bounds the time until a version is in force everywhere. One step, a fraction of the lease
+// duration, is the resolution of version deadlines and the minimum interval between two configurations sent to the same
+// node. A node therefore has several attempts to receive each version.
 constexpr auto steps_per_lease = 8;
 
 }  // namespace
 
-// A version counts from when it was agreed on, rounded down. One that this control node applied before its lead was
-// settled is timed anew then, before it gives any lease.
-auto control_node::time_version(const configuration_ptr& before) -> void {
-  auto is_new = state.configuration && state.configuration != before;
+// The deadline counts from when the version was committed, rounded down to a step. If this control node applied the
+// version before its leadership was settled, the deadline is set again at that point, before any lease is granted.
+auto control_node::set_version_deadline(const configuration_ptr& previous) -> void {
+  auto is_new = state.configuration && state.configuration != previous;
   if (!is_new || !raft.is_leader())
     return;
   const auto step = settings_.lease_duration / steps_per_lease;
@@ -32,7 +32,7 @@
 
 auto control_node::version_requirements_from(monotonic_time since, bool with_deadlines) const -> version_requirements {
   auto versions = version_requirements();
-  versions.newest = std::max(newest_agreed_, newest_accepted());
+  versions.newest = std::max(newest_committed_, newest_accepted());
   if (!with_deadlines) {
     versions.required = versions.newest;
     return versions;
@@ -43,7 +43,7 @@
   return versions;
 }
 
-auto control_node::configuration_due(const session_request& request) const -> monotonic_time {
+auto control_node::configuration_send_time(const session_request& request) const -> monotonic_time {
   const auto* session = sessions_.find(request.node.name);
   if (!session || !view_.lacks_configuration(request.held_versions))
     return never;
@@ -59,7 +59,7 @@
   auto reply = session_reply();
   reply.updates = collect_updates(request, true);
   record_sent(request.node.name, reply.updates);
-  reply.placement_requests = moves_for(request.node.name);
+  reply.placement_requests = moves_requested_from(request.node.name);
   reply.lease = grant_lease(request, received_at);
   co_return reply;
 }
@@ -67,16 +67,16 @@
 auto control_node::wait_for_changes(const session_request& request, monotonic_time received_at)
     -> task<session_updates> {
   const auto& name = request.node.name;
-  // Sooner where the node has not yet reported the version that it was sent.
-  const auto report_pending = request.served_version < sessions_.find(name)->sent_version;
+  // The wait is shorter if the node has not yet reported that it serves the version that it was sent.
+  const auto report_pending = request.served_version < sessions_.find(name)->sent_configuration_version;
   const auto longest_wait = report_pending ? settings_.heartbeat_interval / 2
                                            : settings_.failure_timeout / heartbeat_waits_per_failure_timeout;
   const auto deadline = received_at + longest_wait;
   auto updates = collect_updates(request, false);
-  const auto could_lease = may_lease_to(name);
-  // A lease that can be had meanwhile is news as well.
-  while (updates.empty() && (could_lease || !may_lease_to(name)) && host_.now() < deadline) {
-    const auto until = std::min(deadline, configuration_due(request));
+  const auto could_grant_lease = may_grant_lease_to(name);
+  // The wait also ends when this control node becomes able to grant the node a lease.
+  while (updates.empty() && (could_grant_lease || !may_grant_lease_to(name)) && host_.now() < deadline) {
+    const auto until = std::min(deadline, configuration_send_time(request));
     const auto woken = co_await changed_.wait(host_, until);
     updates = collect_updates(request, false);
     if (!woken && until == deadline)
@@ -85,8 +85,8 @@
   co_return updates;
 }
 
-// Nodes that come and go are reported together; partitions at once, but not each alone where many change; a
-// configuration at once.
+// Changes of nodes are delayed and reported together. Changes of partitions are reported immediately unless partitions
+// were sent to this node only recently. A configuration is reported immediately.
 auto control_node::coalesce_changes(const std::string& name, const session_updates& found) -> task<void> {
   const auto* session = sessions_.find(name);
   if (!session || found.empty() || found.has_configuration())
@@ -98,10 +98,10 @@
     co_await sleep_until(host_, due);
 }
 
-auto control_node::collect_updates(const session_request& request, bool settle) const -> session_updates {
+auto control_node::collect_updates(const session_request& request, bool include_unneeded) const -> session_updates {
   auto updates = session_updates();
-  const auto send_configuration = host_.now() >= configuration_due(request);
-  updates.view_changes = view_.changes_since(request.held_versions, settle, send_configuration);
+  const auto send_configuration = host_.now() >= configuration_send_time(request);
+  updates.view_changes = view_.changes_since(request.held_versions, include_unneeded, send_configuration);
   auto endpoints = session_endpoints();
   if (!endpoints.empty() && address_list_checksum(endpoints) != request.control_nodes_checksum)
     updates.control_nodes = std::move(endpoints);
@@ -116,14 +116,14 @@
     session->partitions_sent_at = host_.now();
   if (updates.has_configuration()) {
     session->configuration_sent_at = host_.now();
-    session->sent_version = view_.configuration->number;
+    session->sent_configuration_version = view_.configuration->number;
   }
 }
 
 auto control_node::grant_lease(const session_request& request, monotonic_time received_at)
     -> std::optional<lease_grant> {
   const auto& name = request.node.name;
-  if (!may_lease_to(name))
+  if (!may_grant_lease_to(name))
     return std::nullopt;
   auto grant = lease_grant();
   if (raft.is_leader()) {
@@ -132,7 +132,7 @@
     grant.duration = expires_at - received_at;
     grant.partitions_version = state.partitions_version.get();
   } else {
-    grant.duration = sessions_.find(name)->lease_limit - received_at;
+    grant.duration = sessions_.find(name)->max_lease_end - received_at;
     grant.partitions_version = leased_partitions_version_;
   }
   grant.versions = version_requirements_from(received_at, request.accepts_deadlines);
@@ -145,9 +145,9 @@
     co_await sleep_until(host_, due);
     start_gossip();
     const auto now = host_.now();
-    excuse_pause(now, now - due);
-    const auto sessions_ended = end_silent_sessions(now);
-    const auto tables_dropped = drop_silent_tables(now);
+    extend_for_pause(now, now - due);
+    const auto sessions_ended = end_timed_out_sessions(now);
+    const auto tables_dropped = remove_stale_tables(now);
     if (sessions_ended || tables_dropped)
       changed_.wake();
     deadlines_.prune(now);
@@ -155,24 +155,24 @@
   }
 }
 
-// What came during a pause is not read yet. If it counted, a busy control node would end sessions of live nodes, and
-// the reports of that would make all control nodes busier.
-auto control_node::excuse_pause(monotonic_time now, monotonic_time pause) -> void {
+// Messages that arrived during a pause have not been read yet. If the pause counted as silence, an overloaded control
+// node would end the sessions of live nodes, and the resulting updates would increase the load on all control nodes.
+auto control_node::extend_for_pause(monotonic_time now, monotonic_time pause) -> void {
   if (pause <= settings_.heartbeat_interval / 2)
     return;
-  sessions_.excuse_pause(now, pause);
+  sessions_.extend_for_pause(now, pause);
   for (auto& [source, peer] : peers_)
     peer.last_contact = std::min(now, peer.last_contact + pause);
 }
 
-auto control_node::end_silent_sessions(monotonic_time now) -> bool {
-  const auto ended = sessions_.remove_silent(now, settings_.failure_timeout);
+auto control_node::end_timed_out_sessions(monotonic_time now) -> bool {
+  const auto ended = sessions_.remove_timed_out(now, settings_.failure_timeout);
   for (const auto& name : ended)
     reachridge::log(log_level::info, settings_.name, "session of " + name + " has ended");
   return !ended.empty();
 }
 
-auto control_node::drop_silent_tables(monotonic_time now) -> bool {
+auto control_node::remove_stale_tables(monotonic_time now) -> bool {
   return std::erase_if(view_.session_tables, [&](const auto& entry) {
            const auto& source = entry.first;
            if (source == sessions_.source() || now - peers_[source].last_contact <= settings_.failure_timeout)
@@ -182,13 +182,13 @@
          }) > 0;
 }
 
-// A version is in force when every node that may serve has said that it serves this version or a newer one.
+// A version is in force when every node that may hold a lease has reported that it serves this version or a newer one.
 auto control_node::on_in_force_query(configuration_version version) const -> in_force_status {
   const auto now = host_.now();
   auto status = in_force_status{.version = version, .newest = newest_accepted(), .waiting = {}};
   status.waiting = leases_.holders_below(version, now);
-  // An older leader's leases may still run; one that was wrongly taken for dead granted some for a voter's quiet
-  // longer.
+  // Leases from an earlier leader may still be valid. If that leader was wrongly considered dead, it may have granted
+  // leases for one more election timeout, in which voters would otherwise have rejected other candidates.
   const auto earlier_leases_end =
       raft.leader_since() + settings_.lease_duration * 5 / 4 + settings_.failure_timeout * 3 / 8;
   if (now < earlier_leases_end)
