--- a/src/control/command_codec.cpp
+++ b/src/control/command_codec.cpp
@@ -157,7 +157,7 @@
     return decline_drain_command{get_string(encoded, "name"), decode_decided_at(encoded), {}, default_replicas};
   if (name == complete_drain_name)
     return complete_drain_command{get_string(encoded, "name")};
-  throw request_error(errc::malformed, "unknown deed " + name);
+  throw request_error(errc::malformed, "unknown command " + name);
 }
 
 auto decode_stored_configuration(const value& stored) -> configuration_ptr {
--- a/src/control/command_codec_test.cpp
+++ b/src/control/command_codec_test.cpp
@@ -68,11 +68,11 @@
 }
 
 TEST(command_codec, a_malformed_command_is_refused) {
-  CHECK_THROWS(request_error, decode_command(object{{"k", "unheard"}}));
+  CHECK_THROWS(request_error, decode_command(object{{"k", "nonexistent"}}));
   CHECK_THROWS(decode_error, decode_command(object{}));
   CHECK_THROWS(decode_error, decode_command(object{{"k", "cell"}, {"id", "a/0"}, {"prim", "x/1"}}));
   CHECK_THROWS(decode_error, decode_command(object{{"k", "leave"}, {"name", "x"}}));
-  CHECK_THROWS(decode_error, decode_command(object{{"k", "leave"}, {"name", "x"}, {"kind", "unheard"}}));
+  CHECK_THROWS(decode_error, decode_command(object{{"k", "leave"}, {"name", "x"}, {"kind", "nonexistent"}}));
 }
 
 TEST(command_codec, results) {
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -86,8 +86,8 @@
   try {
     std::rethrow_exception(std::move(error));
   } catch (const std::exception& caught) {
-    reachridge::log(log_level::error, settings_.name, std::string("task ended: ") + caught.what());
-    dump_log("a task ended");
+    reachridge::log(log_level::error, settings_.name, std::string("background task failed: ") + caught.what());
+    dump_log("a background task failed");
   }
 }
 
@@ -197,9 +197,9 @@
 
 auto control_node::on_recreate_partition(const std::string& id) -> task<value> {
   if (!state.partitions.count(id))
-    throw request_error(errc::not_found, "no cell " + id);
+    throw request_error(errc::not_found, "unknown partition " + id);
   if (!all_replicas_lost(state.partitions[id]))
-    throw request_error(errc::permission_denied, "not every copy of " + id + " is known to be lost");
+    throw request_error(errc::permission_denied, "not every replica of " + id + " is known to be lost");
   co_return co_await recreate_partition(id, true);
 }
 
@@ -216,8 +216,8 @@
     if (!error.message.starts_with(unknown_request_prefix))
       throw;
   }
-  throw request_error(errc::no_leader, "the leader is of an earlier version", execution_outcome::not_executed,
-                      settings_.failure_timeout / millisecond);
+  throw request_error(errc::no_leader, "the leader runs an earlier release without this operation",
+                      execution_outcome::not_executed, settings_.failure_timeout / millisecond);
 }
 
 auto control_node::propose(value command) -> task<value> {
--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -48,10 +48,10 @@
       known_zones.insert(zone);
   }
   if (count < replicas)
-    return std::to_string(count) + " combs would be left, " + std::to_string(replicas) + " are needed";
+    return std::to_string(count) + " storage nodes would remain, but " + std::to_string(replicas) + " are required";
   auto max_zone_count = static_cast<std::int64_t>(known_zones.size()) + unreachable_count;
   if (max_zone_count < min_zones)
-    return "the combs that would be left stand in one locality";
+    return "the remaining storage nodes are all in one zone";
   return {};
 }
 
@@ -83,8 +83,10 @@
   if (configuration && next->number == configuration->number) {
     if (next->same_content(*configuration))
       return command_accepted{.configuration_number = next->number, .is_repeat = true};
-    throw version_error(errc::version_taken,
-                        "number " + std::to_string(next->number) + " is already used with other content", next->number);
+    throw version_error(
+        errc::version_taken,
+        "configuration number " + std::to_string(next->number) + " is already used with different content",
+        next->number);
   }
   check_number(*next);
   check_partition_counts(*next);
@@ -97,12 +99,14 @@
   auto newest = configuration ? configuration->number : 0;
   if (next.number < newest)
     throw version_error(errc::stale_version,
-                        "number " + std::to_string(next.number) + " is below the newest, " + std::to_string(newest),
+                        "configuration number " + std::to_string(next.number) + " is lower than the newest number " +
+                            std::to_string(newest),
                         newest);
   if (next.after >= 0 && next.after != newest)
-    throw version_error(
-        errc::stale_version,
-        "it is meant to follow " + std::to_string(next.after) + ", the newest is " + std::to_string(newest), newest);
+    throw version_error(errc::stale_version,
+                        "the configuration must follow number " + std::to_string(next.after) +
+                            ", but the newest number is " + std::to_string(newest),
+                        newest);
 }
 
 auto control_state::check_partition_counts(const configuration_record& next) const -> void {
@@ -110,8 +114,8 @@
     auto fixed = fixed_partition_count(name);
     if (!fixed || *fixed == pool.partitions)
       continue;
-    throw request_error(errc::invalid_configuration,
-                        "spaces: '" + name + "' has " + std::to_string(*fixed) + " cells, which cannot change");
+    throw request_error(errc::invalid_configuration, "spaces: '" + name + "' has " + std::to_string(*fixed) +
+                                                         " partitions and this number cannot change");
   }
 }
 
@@ -145,20 +149,20 @@
 auto control_state::assignment_rejection_reason(const partition_assignment& current,
                                                 const partition_assignment& next) const -> std::string {
   if (current.epoch != next.epoch)
-    return "another epoch stands";
+    return "the partition has another epoch";
   if (next.primary.empty() || !next.is_in_sync(next.primary))
-    return "a primary must be in step";
+    return "the primary must be in sync";
   if (!on_different_nodes(next.in_sync_replicas))
-    return "copies want different nodes";
+    return "the replicas must be on different nodes";
   if (current.epoch > 0 && !current.is_in_sync(next.primary))
-    return "only a node in step may hold the cell";
+    return "only an in-sync replica may become the primary";
   // A retired node never receives a replica again, not even from a move that was in progress when its drain completed.
   auto on_retired_node =
       std::any_of(next.in_sync_replicas.begin(), next.in_sync_replicas.end(), [&](const auto& member) {
         return is_retired(node_of_member(member));
       });
   if (on_retired_node)
-    return "a retired node holds nothing";
+    return "a retired node must not hold a replica";
   return {};
 }
 
@@ -172,13 +176,15 @@
   const auto& id = command.partition;
   auto it = partitions.find(id);
   if (it == partitions.end())
-    throw request_error(errc::not_found, "no cell " + id);
+    throw request_error(errc::not_found, "unknown partition " + id);
   auto& current = it->second;
   auto next = command.assignment;
   if (current.epoch != next.epoch)
-    return command_superseded{"another epoch stands", current};
+    return command_superseded{"the partition has another epoch", current};
   if (keeps_messages(id) && !command.accepts_message_loss)
-    throw request_error(errc::permission_denied, id + " is of a kept space: founding it again forsakes what it kept");
+    throw request_error(
+        errc::permission_denied,
+        id + " belongs to a space that retains messages: recreating the partition loses the retained messages");
   next.epoch = current.epoch + 1;
   next.recreated_epoch = next.epoch;
   next.committed_index = index;
@@ -199,13 +205,13 @@
   const auto& name = command.name;
   drain_fence.check_and_record(name, command.expected_last_order, index);
   if (!zone_of_key(name).empty() && command.kind != drain_kind::evacuate)
-    throw request_error(errc::malformed, "a zone can only be evacuated");
+    throw request_error(errc::malformed, "a zone can be evacuated but not drained or retired");
   if (auto it = drains.find(name); it != drains.end()) {
     const auto& current = it->second;
     if (current.kind == command.kind)
       return command_accepted{.is_repeat = true, .drain_completed = current.completed};
     if (current.kind == drain_kind::retire)
-      throw request_error(errc::version_taken, name + " is being retired already");
+      throw request_error(errc::version_taken, name + " is already being retired");
   }
   // The leader has checked this when it decided the order, but two retirements may have been decided concurrently.
   if (command.remaining_nodes) {
@@ -224,7 +230,7 @@
   if (it == drains.end())
     return command_accepted{.is_repeat = true};
   if (is_retired(command.name))
-    throw request_error(errc::version_taken, command.name + " is retired");
+    throw request_error(errc::version_taken, command.name + " has been retired");
   drains.erase(it);
   partitions_version = index;
   return command_accepted{};
@@ -240,9 +246,9 @@
   auto it = drains.find(name);
   auto is_draining_node = it != drains.end() && zone_of_key(name).empty();
   if (!is_draining_node)
-    throw request_error(errc::not_found, name + " is not leaving");
+    throw request_error(errc::not_found, name + " is not a draining node");
   if (!partitions_of(name).empty())
-    return command_superseded{"cells are left there"};
+    return command_superseded{"the node still holds partitions"};
   it->second.completed = true;
   partitions_version = index;
   return command_accepted{};
--- a/src/control/control_state_snapshot.cpp
+++ b/src/control/control_state_snapshot.cpp
@@ -30,7 +30,7 @@
   auto next = control_state();
   if (!snapshot.is_null()) {
     if (get_int(snapshot, "format") != snapshot_format)
-      throw request_error(errc::damaged, "the ledger's capture has an unknown format");
+      throw request_error(errc::damaged, "the snapshot of the control state has an unknown format");
     if (const auto& stored = get_value(snapshot, "charter"); !stored.is_null())
       next.configuration = decode_stored_configuration(stored);
     next.configuration_index = get_int(snapshot, "law_idx");
--- a/src/control/drain_orders.cpp
+++ b/src/control/drain_orders.cpp
@@ -9,7 +9,7 @@
 
 constexpr auto max_name_bytes = std::size_t{100};
 constexpr auto order_fields = std::array<std::string_view, 4>{"name", "zone", "kind", "copies"};
-constexpr auto invalid_replicas_message = "copies wants a number above 0";
+constexpr auto invalid_replicas_message = "copies must be an integer greater than 0";
 
 auto is_name_character(unsigned char character) -> bool {
   auto is_printable = character > ' ' && character < 127;
@@ -20,7 +20,7 @@
   auto error = boost::json::error_code();
   auto parsed = boost::json::parse(body, error);
   if (error || !parsed.is_object())
-    throw request_error(errc::malformed, "the body is no JSON object");
+    throw request_error(errc::malformed, "the request body is not a JSON object");
   for (const auto& field : parsed.get_object())
     if (std::find(order_fields.begin(), order_fields.end(), std::string_view(field.key())) == order_fields.end())
       throw request_error(errc::malformed, "unknown field " + std::string(field.key()));
@@ -31,7 +31,7 @@
   try {
     return parse_drain_kind(text);
   } catch (const decode_error&) {
-    throw request_error(errc::malformed, "kind is drain, evacuate or retire");
+    throw request_error(errc::malformed, "kind must be drain, evacuate or retire");
   }
 }
 
@@ -55,10 +55,11 @@
   auto body = value(parse_body(request.body));
   auto targets_zone = get_value(body, "zone").is_string();
   if (targets_zone == get_value(body, "name").is_string())
-    throw request_error(errc::malformed, "either name or zone is wanted");
+    throw request_error(errc::malformed, "exactly one of name and zone must be given");
   auto name = get_string(body, targets_zone ? "zone" : "name");
   if (!is_node_name(name))
-    throw request_error(errc::malformed, "that is no name of a " + std::string(targets_zone ? "zone" : "node"));
+    throw request_error(errc::malformed,
+                        "the given name is not a valid name of a " + std::string(targets_zone ? "zone" : "node"));
   auto default_kind = targets_zone ? drain_kind::evacuate : drain_kind::drain;
   auto order = drain_order();
   order.begins_drain = request.path != "/v1/stay";
--- a/src/control/drain_service.cpp
+++ b/src/control/drain_service.cpp
@@ -27,7 +27,7 @@
     });
     if (!has_other_replica)
       return request_error(errc::last_replica,
-                           order.name + " holds the last copy in step of " + id + " that is in reach",
+                           order.name + " holds the only in-sync replica of " + id + " that is reachable",
                            execution_outcome::not_executed, settings_.failure_timeout / millisecond);
   }
   auto reason = state.insufficient_nodes_reason(remaining_nodes, order.replicas);
@@ -45,7 +45,7 @@
   auto current = state.drains.find(order.name);
   auto already_retiring = current != state.drains.end() && current->second.kind == drain_kind::retire;
   if (!targets_zone && !knows_storage_node(order.name)) {
-    refusal = request_error(errc::not_found, "no comb " + order.name + " is known");
+    refusal = request_error(errc::not_found, "storage node " + order.name + " is unknown");
   } else if (order.kind == drain_kind::retire && !already_retiring) {
     command.remaining_nodes = nodes_remaining_without(order.name);
     refusal = retirement_rejection(order, *command.remaining_nodes);
@@ -97,15 +97,15 @@
 
 auto control_node::list_drains() -> task<http_response> {
   auto current = co_await read_state();
-  auto rows = object();
+  auto encoded_drains = object();
   for (const auto& [name, drain] : current.drains) {
     auto remaining_partitions = partitions_remaining_on(current, name);
     auto targets_zone = !zone_of_key(name).empty();
-    rows[name] = object{{"kind", to_string(drain.kind)},
-                        {"done", targets_zone ? remaining_partitions.empty() : drain.completed},
-                        {"left", array(remaining_partitions.begin(), remaining_partitions.end())}};
+    encoded_drains[name] = object{{"kind", to_string(drain.kind)},
+                                  {"done", targets_zone ? remaining_partitions.empty() : drain.completed},
+                                  {"left", array(remaining_partitions.begin(), remaining_partitions.end())}};
   }
-  co_return http_response{200, rows, {}};
+  co_return http_response{200, encoded_drains, {}};
 }
 
 auto control_node::read_state() -> task<control_state> {
@@ -125,12 +125,13 @@
   auto zone = zone_of_key(requested.name);
   auto is_unknown_zone = !zone.empty() && !zones().count(zone);
   if (requested.begins_drain && is_unknown_zone)
-    out.as_object()["warn"] = "no node of zone " + zone + " is known now";
+    out.as_object()["warn"] = "zone " + zone + " currently has no known node";
   co_return http_response{200, out, {}};
 }
 
 auto control_node::submit_until_decided(const drain_order& requested, const http_request& request) -> task<value> {
-  auto error = request_error(errc::superseded, "its caller waits no longer", execution_outcome::not_executed, 0);
+  auto error =
+      request_error(errc::superseded, "the client no longer waits for the order", execution_outcome::not_executed, 0);
   while (request.awaited(host_.now())) {
     try {
       co_return co_await submit_drain_order(requested);
--- a/src/control/order_fence.cpp
+++ b/src/control/order_fence.cpp
@@ -17,8 +17,8 @@
   auto last = index_of(name);
   if (*expected_last_order == last)
     return;
-  throw request_error(errc::superseded, "another order on " + name + " came first", execution_outcome::not_executed, 0,
-                      object{{"after", last.get()}});
+  throw request_error(errc::superseded, "another order on " + name + " was applied first",
+                      execution_outcome::not_executed, 0, object{{"after", last.get()}});
 }
 
 auto order_fence::record(const std::string& name, const std::optional<log_index>& expected_last_order, log_index index)
--- a/src/control/order_fence_test.cpp
+++ b/src/control/order_fence_test.cpp
@@ -41,9 +41,9 @@
   for (auto i = std::size_t{0}; i < order_fence::max_names; ++i)
     fence.record("n" + std::to_string(i), 0, log_index(static_cast<std::int64_t>(i)) + 2);
   LONGS_EQUAL(1, fence.index_of("first"));  // evicted, so the floor applies
-  LONGS_EQUAL(1, fence.index_of("unheard"));
+  LONGS_EQUAL(1, fence.index_of("nonexistent"));
   CHECK(!passes(fence, "first", 0));
-  CHECK(!passes(fence, "unheard", 0));
+  CHECK(!passes(fence, "nonexistent", 0));
   CHECK(passes(fence, "first", 1));
 }
 
--- a/src/control/pages.cpp
+++ b/src/control/pages.cpp
@@ -14,7 +14,7 @@
 }
 
 auto page_not_found(const std::string& path) -> request_error {
-  return {errc::not_found, "no page " + path};
+  return {errc::not_found, "unknown page " + path};
 }
 
 // Returns the HTTP response for the result of a command. Throws the request_error of a refused command.
@@ -28,7 +28,7 @@
   try {
     return std::stoll(text);
   } catch (const std::exception&) {
-    throw request_error(errc::malformed, "held wants ?number=N");
+    throw request_error(errc::malformed, "the query parameter number must be an integer");
   }
 }
 
@@ -60,7 +60,7 @@
 auto control_node::ready_page() const -> http_response {
   if (ready())
     return {200, {}, "ready\n"};
-  throw request_error(errc::no_leader, "no ledger leader is in reach", execution_outcome::not_executed,
+  throw request_error(errc::no_leader, "no leader of the replicated log is reachable", execution_outcome::not_executed,
                       settings_.failure_timeout / millisecond);
 }
 
@@ -99,7 +99,7 @@
   if (is_read)
     co_return co_await read_configuration_page();
   if (!is_write)
-    throw request_error(errc::malformed, "charter takes GET and PUT");
+    throw request_error(errc::malformed, "this page accepts only GET and PUT");
   auto next = compile_configuration(request.body);
   if (request.query["dry"] == "yes")
     co_return ok_response(plan_configuration(*next));
@@ -117,7 +117,7 @@
   auto request = value(object{{"op", "fresh"}});
   auto answer = co_await handle_call(nullptr, std::move(request));
   if (!get_value(answer, "charter").is_string())
-    throw request_error(errc::not_found, "no charter was accepted yet");
+    throw request_error(errc::not_found, "no configuration has been accepted yet");
   co_return ok_response(boost::json::parse(get_string(answer, "charter")));
 }
 
@@ -161,15 +161,16 @@
   });
   if (retaining_space == next.spaces.end())
     return {};
-  return "space '" + retaining_space->first + "' is kept: that wants combs with disks in two localities, and " +
-         std::to_string(zones.size()) + " has or have one now";
+  return "space '" + retaining_space->first +
+         "' retains messages and requires storage nodes with disks in two zones, but only " +
+         std::to_string(zones.size()) + " zone(s) have one now";
 }
 
 auto control_node::recreation_page(http_request request) -> task<http_response> {
   auto error = boost::json::error_code();
   auto body = boost::json::parse(request.body, error);
   if (error || !get_value(body, "cell").is_string())
-    throw request_error(errc::malformed, "the body wants {\"cell\": ID}");
+    throw request_error(errc::malformed, "the request body must be {\"cell\": ID}");
   auto call = value(object{{"op", "refound"}, {"cell", get_string(body, "cell")}});
   auto answer = co_await handle_call(nullptr, std::move(call));
   co_return accepted_response(std::move(answer));
--- a/src/control/placement.cpp
+++ b/src/control/placement.cpp
@@ -110,8 +110,8 @@
     loads[name] += count;
   auto chosen = choose_backup(request, replicas_by_zone, nodes, loads);
   if (!chosen)
-    throw request_error(errc::no_room, "no comb in another locality can take a copy", execution_outcome::not_executed,
-                        settings_.failure_timeout / millisecond);
+    throw request_error(errc::no_room, "no storage node in another zone can take a replica",
+                        execution_outcome::not_executed, settings_.failure_timeout / millisecond);
   ++chosen_backups_by_node_[chosen->name];
   return encode_chosen_backup(*chosen);
 }
@@ -128,7 +128,7 @@
       co_await recreate_lost_partitions();
       co_await complete_drains();
     } catch (const request_error& error) {
-      reachridge::log(log_level::info, settings_.name, std::string("placement waits: ") + error.what());
+      reachridge::log(log_level::info, settings_.name, std::string("placement is delayed: ") + error.what());
     }
   }
 }
@@ -204,11 +204,11 @@
 auto control_node::recreate_partition(std::string id, bool accept_message_loss) -> task<value> {
   auto by_load = nodes_by_load(storage_nodes_with_fallback(), partition_loads(state.partitions));
   if (by_load.empty())
-    throw request_error(errc::no_room, "no comb is there", execution_outcome::not_executed,
+    throw request_error(errc::no_room, "no storage node is available", execution_outcome::not_executed,
                         settings_.failure_timeout / millisecond);
   auto replicas = choose_replicas(by_load, replica_count_of(pool_of_partition(id)));
   if (replicas.empty())
-    throw request_error(errc::no_room, "no comb in a second locality", execution_outcome::not_executed,
+    throw request_error(errc::no_room, "no storage node is available in a second zone", execution_outcome::not_executed,
                         settings_.failure_timeout / millisecond);
   reachridge::log(log_level::warning, settings_.name, id + ": all replicas are lost; the partition is recreated");
   auto assignment = make_assignment(replicas, state.partitions[id].epoch, "founded again");
@@ -239,8 +239,9 @@
     return;
   requested_moves_ = {*move};
   last_move_requested_at_ = host_.now();
-  auto action = move->hands_over() ? ": requests that " + move->primary + " hands it over to " + move->new_primary
-                                   : ": requests a backup on " + move->new_backup;
+  auto action = move->hands_over()
+                    ? ": requests that " + move->primary + " transfers the primary role to " + move->new_primary
+                    : ": requests a new backup on " + move->new_backup;
   reachridge::log(log_level::info, settings_.name, move->partition + action);
 }
 
--- a/src/control/session_service.cpp
+++ b/src/control/session_service.cpp
@@ -168,7 +168,7 @@
 auto control_node::end_timed_out_sessions(monotonic_time now) -> bool {
   const auto ended = sessions_.remove_timed_out(now, settings_.failure_timeout);
   for (const auto& name : ended)
-    reachridge::log(log_level::info, settings_.name, "session of " + name + " has ended");
+    reachridge::log(log_level::info, settings_.name, "session of " + name + " has timed out");
   return !ended.empty();
 }
 
@@ -192,9 +192,9 @@
   const auto earlier_leases_end =
       raft.leader_since() + settings_.lease_duration * 5 / 4 + settings_.failure_timeout * 3 / 8;
   if (now < earlier_leases_end)
-    status.waiting.emplace_back("(leases given under an earlier leader)");
+    status.waiting.emplace_back("(leases from an earlier leader may still be valid)");
   if (version > status.newest)
-    status.waiting.emplace_back("(the number is not accepted)");
+    status.waiting.emplace_back("(the version has not been accepted)");
   return status;
 }
 
