--- a/src/control/control_state_snapshot.cpp
+++ b/src/control/control_state_snapshot.cpp
@@ -1,4 +1,4 @@
-// The control state as a snapshot of the replicated log holds it, and back.
+// Encodes the control state as a snapshot of the replicated log and restores it.
 #include "control/control_state.hpp"
 #include "runtime/request_error.hpp"
 
@@ -25,12 +25,12 @@
                 {"orders", drain_fence.take_snapshot()}};
 }
 
-// A malformed snapshot throws before anything here changes.
+// Decodes into a temporary state, so that a malformed snapshot leaves this state unchanged.
 auto control_state::restore(const value& snapshot) -> void {
   auto next = control_state();
   if (!snapshot.is_null()) {
     if (get_int(snapshot, "format") != snapshot_format)
-      throw request_error(errc::damaged, "the ledger's capture has an unknown format");
+      throw request_error(errc::damaged, "the snapshot of the control state has an unknown format");
     if (const auto& stored = get_value(snapshot, "charter"); !stored.is_null())
       next.configuration = decode_stored_configuration(stored);
     next.configuration_index = get_int(snapshot, "law_idx");
