--- a/src/raft/bootstrap.cpp
+++ b/src/raft/bootstrap.cpp
@@ -1,5 +1,5 @@
-// How a replica that is no voter becomes one: it founds the log with the other seeds, or joins the log there is (design
-// 4.5).
+// Startup of a replica that is not a voter: it creates a new log together with the other seeds, or joins the existing
+// log (design 4.5).
 #include <algorithm>
 
 #include "raft/consensus.hpp"
@@ -8,14 +8,15 @@
 namespace reachridge {
 namespace {
 
-constexpr auto join_timeouts = 4;  // failure timeouts that a request to join may take
+constexpr auto join_timeouts = 4;  // timeout of a join request, in failure timeouts
 
 }  // namespace
 
-// What the peers of a blank replica say of themselves.
-struct consensus::seed_survey {
-  std::vector<voter> disks;  // all that answered, founded or not
-  std::string via;           // one that belongs to a log, its leader if that is among them; empty: none does
+// The replies of the peers to a describe request.
+struct consensus::peer_survey {
+  std::vector<voter> responders;  // all peers that replied, initialized or not
+  // Address of a peer that belongs to a log, preferably of the leader; empty: no peer belongs to a log.
+  std::string contact_address;
 };
 
 auto consensus::describe_peer(std::string address, describe_request request) -> task<describe_reply> {
@@ -24,44 +25,49 @@
   co_return decode_describe_reply(answer);
 }
 
-// A blank disk: founds the log if it may and all seeds are there and blank, else joins. One seed alone that lost its
-// disk would otherwise begin a second history.
-auto consensus::bootstrap() -> task<void> {
-  auto is_seed = std::find(settings_.seeds.begin(), settings_.seeds.end(), self_.address) != settings_.seeds.end();
-  auto disks = std::vector<voter>();
+// Runs while this replica may not vote. Creates a new log if the settings allow it and all seeds reply and are blank;
+// otherwise joins the existing log. A single seed must not create a log, because a seed that lost its disk would start
+// a second history.
+auto consensus::bootstrap_or_join() -> task<void> {
+  auto is_seed =
+      std::find(settings_.seeds.begin(), settings_.seeds.end(), local_voter_.address) != settings_.seeds.end();
+  auto responders = std::vector<voter>();
   if (is_seed)
-    disks.push_back(self_);
-  auto survey = co_await survey_peers(std::move(disks));
-  auto all_blank = survey.via.empty();
-  auto all_answered = survey.disks.size() == settings_.seeds.size();
-  auto may_found = !log_.initialized && settings_.may_bootstrap && is_seed;
-  if (may_found && all_blank && all_answered)
-    co_await found_log(std::move(survey.disks));
+    responders.push_back(local_voter_);
+  auto survey = co_await survey_peers(std::move(responders));
+  auto all_blank = survey.contact_address.empty();
+  auto all_replied = survey.responders.size() == settings_.seeds.size();
+  auto may_bootstrap = !log_.initialized && settings_.may_bootstrap && is_seed;
+  if (may_bootstrap && all_blank && all_replied)
+    co_await bootstrap_log(std::move(survey.responders));
   else if (!all_blank)
-    co_await join(survey.via);
+    co_await join(survey.contact_address);
   if (!may_vote())
     co_await sleep_for(host_, host_.jittered(settings_.heartbeat_interval));
 }
 
-auto consensus::survey_peers(std::vector<voter> blank_seeds) -> task<seed_survey> {
-  auto survey = seed_survey{std::move(blank_seeds), {}};
-  for (const auto& address : peers()) {
+// Asks every peer for its view of the log. Peers that do not reply are left out. `responders` is the initial content of
+// the list of responders.
+auto consensus::survey_peers(std::vector<voter> responders) -> task<peer_survey> {
+  auto survey = peer_survey{std::move(responders), {}};
+  for (const auto& address : peer_addresses()) {
     try {
       auto request = describe_request();
       auto reply = co_await describe_peer(address, request);
-      survey.disks.push_back({address, reply.disk_id});
+      survey.responders.push_back({address, reply.disk_id});
       if (!reply.initialized || reply.empty)
         continue;
-      if (reply.leader == address || survey.via.empty())
-        survey.via = address;
+      if (reply.leader == address || survey.contact_address.empty())
+        survey.contact_address = address;
     } catch (const request_error&) {
     }
   }
   co_return survey;
 }
 
-auto consensus::found_log(std::vector<voter> founders) -> task<void> {
-  log_.bootstrap(std::move(founders));
+// Creates a new log with these voters on the local disk.
+auto consensus::bootstrap_log(std::vector<voter> initial_voters) -> task<void> {
+  log_.bootstrap(std::move(initial_voters));
   try {
     co_await log_.sync();
     reachridge::log(log_level::info, settings_.name, "the replicated log is founded");
@@ -69,12 +75,13 @@
   }
 }
 
-// Asks to become a voter until it is one or the way to the leader is lost; what it has learned so far counts.
-auto consensus::join(std::string via) -> task<void> {
+// Sends join requests to `contact_address` until this replica is a voter or a request fails with an error other than
+// `catching_up` or `busy`. A retry does not start over: the replica keeps the entries that it received as a learner.
+auto consensus::join(std::string contact_address) -> task<void> {
   while (true) {
     try {
-      auto message = encode(join_request{self_, log_.log_id()});
-      co_await peer(via).call(std::move(message), host_.now() + settings_.failure_timeout * join_timeouts);
+      auto message = encode(join_request{local_voter_, log_.log_id()});
+      co_await peer(contact_address).call(std::move(message), host_.now() + settings_.failure_timeout * join_timeouts);
       co_return;
     } catch (const request_error& error) {
       reachridge::log(log_level::info, settings_.name, std::string("not yet a voter: ") + error.what());
@@ -83,29 +90,30 @@
         co_return;
     }
     co_await sleep_for(host_, host_.jittered(settings_.heartbeat_interval));
-    if (log_.members().contains(self_))
+    if (log_.members().contains(local_voter_))
       co_return;
   }
 }
 
-// One that takes itself for a voter but hears no leader: the others may have gone on without it.
+// Called when this replica is a voter in its own log but hears from no leader: the other voters may have removed it.
+// Joins again if a peer that knows a leader no longer lists this replica as a voter.
 auto consensus::rejoin() -> task<void> {
-  joining_ = true;
-  auto via = std::string();
-  for (const auto& address : peers()) {
+  rejoining_ = true;
+  auto contact_address = std::string();
+  for (const auto& address : peer_addresses()) {
     try {
-      auto request = describe_request{self_};
+      auto request = describe_request{local_voter_};
       auto reply = co_await describe_peer(address, request);
       if (reply.leader.empty() || reply.requester_is_voter)
         continue;
-      via = address;
+      contact_address = address;
       break;
     } catch (const request_error&) {
     }
   }
-  if (!via.empty())
-    co_await join(via);
-  joining_ = false;
+  if (!contact_address.empty())
+    co_await join(contact_address);
+  rejoining_ = false;
 }
 
 }  // namespace reachridge
--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -196,8 +196,8 @@
                 {"from", request.candidate},
                 {"last", request.last_index.get()},
                 {"last_term", request.last_term.get()},
-                {"dry", request.dry_run},
-                {"go", request.transfer}};
+                {"dry", request.is_pre_vote},
+                {"go", request.is_leadership_transfer}};
 }
 
 auto decode_vote_request(const value& message) -> vote_request {
@@ -365,10 +365,10 @@
 auto encode(const raft_status& status) -> value {
   auto voters = array();
   for (const auto& member : status.voters) {
-    auto encoded = object{{"addr", member.who.address}, {"id", member.who.disk_id}};
+    auto encoded = object{{"addr", member.identity.address}, {"id", member.identity.disk_id}};
     if (member.contact) {
-      encoded["seat"] = member.contact->standing;
-      encoded["behind"] = member.contact->behind;
+      encoded["seat"] = member.contact->membership_state;
+      encoded["behind"] = member.contact->entries_behind;
       encoded["silent_ms"] = member.contact->silent_ms;
     }
     voters.push_back(std::move(encoded));
--- a/src/raft/codec_test.cpp
+++ b/src/raft/codec_test.cpp
@@ -53,7 +53,7 @@
   auto chunk = decode_snapshot_chunk(encode(sample_chunk()));
   CHECK(chunk.offset == 40 && chunk.data == "0123456789" && chunk.size == 100 && chunk.checksum == 4711);
   auto vote = decode_vote_request(encode(vote_request{"a:1", 3, 9, 2, true, false}));
-  CHECK(vote.dry_run && !vote.transfer && vote.last_index == 9);
+  CHECK(vote.is_pre_vote && !vote.is_leadership_transfer && vote.last_index == 9);
   auto reply = decode_append_reply(encode(append_reply{3, false, "x", 0, 8}));
   CHECK(!reply.success && reply.next_index_hint == 8);
 }
--- a/src/raft/consensus.cpp
+++ b/src/raft/consensus.cpp
@@ -1,4 +1,4 @@
-// The replicated log as its user sees it: proposals, fresh reads, requests of other replicas (design 4).
+// The public interface of the replicated log: proposals, read barriers, and requests from other replicas (design 4).
 #include "raft/consensus.hpp"
 
 #include <algorithm>
@@ -8,13 +8,15 @@
 namespace reachridge {
 namespace {
 
+// Awaits a request handler and encodes its reply.
 template <class Reply>
 auto encode_reply(task<Reply> handler) -> task<value> {
   auto reply = co_await std::move(handler);
   co_return encode(reply);
 }
 
-// A majority that was silent for this long no longer follows; voters wait as long before they run (design 4.1).
+// A leader steps down after it has heard from no majority for this time, and a follower waits at least this time
+// without hearing from a leader before it starts an election (design 4.1).
 auto election_timeout_for(const settings& node_settings) -> monotonic_time {
   return node_settings.failure_timeout * 3 / 8;
 }
@@ -38,16 +40,17 @@
     }
   };
   auto restored = log_.load(host_.random());
-  self_ = {node_settings.address, log_.disk_id};
+  local_voter_ = {node_settings.address, log_.disk_id};
   if (restored) {
     if (!restored->state.is_null())
       state_machine_.restore(restored->state);
     commit_index_ = applied_index_ = restored->index;
   }
-  // It may have promised a leader quiet just before it went down (design 4.4).
+  // Just before the restart this replica may have acknowledged a leader's heartbeat. The replica must not vote for
+  // another candidate until an election timeout has passed (design 4.4).
   if (log_.term > 0)
     last_leader_contact_ = host_.now();
-  tasks_.spawn(election_timer());
+  tasks_.spawn(run_current_role());
   tasks_.spawn(apply_committed());
 }
 
@@ -64,88 +67,90 @@
   return *connection;
 }
 
-auto consensus::retry_after_heartbeat(errc code, const char* message, execution_outcome outcome) const
-    -> request_error {
+auto consensus::retryable_error(errc code, const char* message, execution_outcome outcome) const -> request_error {
   return request_error(code, message, outcome, settings_.heartbeat_interval / millisecond);
 }
 
-auto consensus::call_leader(value message, monotonic_time until) -> task<value> {
-  if (leader_address_.empty() || leader_address_ == self_.address)
+auto consensus::call_leader(value message, monotonic_time deadline) -> task<value> {
+  if (leader_address_.empty() || leader_address_ == local_voter_.address)
     throw request_error(errc::no_leader, "no ledger leader is known here", execution_outcome::not_executed,
                         settings_.failure_timeout / millisecond);
-  co_return co_await peer(leader_address_).call(std::move(message), until);
+  co_return co_await peer(leader_address_).call(std::move(message), deadline);
 }
 
-auto consensus::propose(value command, monotonic_time until) -> task<value> {
+auto consensus::propose(value command, monotonic_time deadline) -> task<value> {
   if (!is_leader() || transferring_)
-    throw retry_after_heartbeat(errc::no_leader, "this queen does not lead", execution_outcome::not_executed);
+    throw retryable_error(errc::no_leader, "this queen does not lead", execution_outcome::not_executed);
   if (encode_cbor(command).size() > max_command_bytes)
     throw request_error(errc::too_large, "the command fits into no frame");
-  auto waiting = std::make_shared<proposal>();
-  waiting->term = log_.term;
-  proposals_[log_.append(log_.term, command)] = waiting;
-  // The own sync and the followers' go on side by side; each counts once it is done (Raft thesis 10.2.1).
+  auto pending = std::make_shared<proposal>();
+  pending->term = log_.term;
+  proposals_[log_.append(log_.term, command)] = pending;
+  // The leader syncs its disk in parallel with replication to the followers. Each copy counts towards the majority once
+  // it is durable (Raft thesis 10.2.1).
   tasks_.spawn(sync_own_log());
-  log_grown_.wake();
-  while (!waiting->result && !waiting->abandoned) {
-    auto in_time = co_await waiting->done.wait(host_, until);
+  replication_needed_.wake();
+  while (!pending->result && !pending->abandoned) {
+    auto in_time = co_await pending->done.wait(host_, deadline);
     if (!in_time)
       break;
   }
-  if (!waiting->result)
-    throw retry_after_heartbeat(errc::unclear, "the ledger did not agree in time", execution_outcome::unknown);
-  co_return std::move(*waiting->result);
+  if (!pending->result)
+    throw retryable_error(errc::unclear, "the ledger did not agree in time", execution_outcome::unknown);
+  co_return std::move(*pending->result);
 }
 
-auto consensus::read_barrier(monotonic_time until) -> task<void> {
-  auto asked = host_.now();
+auto consensus::read_barrier(monotonic_time deadline) -> task<void> {
+  auto requested_at = host_.now();
   auto term = log_.term;
   auto not_confirmed = request_error(errc::no_leader, "no majority confirms the newest state now",
                                      execution_outcome::not_executed, settings_.failure_timeout / millisecond);
   if (!is_leader())
     throw not_confirmed;
-  auto first = first_own_index_;
-  log_grown_.wake();
-  while (last_quorum_contact() < asked) {
-    auto in_time = co_await reply_received_.wait(host_, until);
+  auto required_index = term_start_index_;
+  replication_needed_.wake();
+  while (last_quorum_contact() < requested_at) {
+    auto in_time = co_await reply_received_.wait(host_, deadline);
     if (!in_time || !is_leader() || log_.term != term)
       throw not_confirmed;
   }
-  // Until an entry of its own term is committed a leader may not know all that is (Raft, section 8).
-  auto upto = std::max(commit_index_, first);
-  while (applied_index_ < upto) {
-    auto in_time = co_await commit_advanced_.wait(host_, until);
+  // A new leader does not know the latest commit index until an entry of its own term is committed (Raft, section 8).
+  auto target_index = std::max(commit_index_, required_index);
+  while (applied_index_ < target_index) {
+    auto in_time = co_await commit_advanced_.wait(host_, deadline);
     if (!in_time || !is_leader() || log_.term != term)
       throw not_confirmed;
   }
 }
 
 auto consensus::apply_next() -> void {
-  auto at = applied_index_ + 1;
-  auto entry_term = log_.entry_at(at).term;
-  auto command = decode_cbor(log_.entry_at(at).command);
-  auto result = is_membership_command(command) ? encode(acknowledgement{}) : state_machine_.apply(at.get(), command);
-  applied_index_ = at;
-  // Settled: it speaks for the majority now.
-  if (is_leader() && at == first_own_index_ && state_machine_.leader_changed)
+  auto index = applied_index_ + 1;
+  auto entry_term = log_.entry_at(index).term;
+  auto command = decode_cbor(log_.entry_at(index).command);
+  auto result = is_membership_command(command) ? encode(acknowledgement{}) : state_machine_.apply(index.get(), command);
+  applied_index_ = index;
+  // leadership_established() becomes true with the first entry of the leader's term.
+  if (is_leader() && index == term_start_index_ && state_machine_.leader_changed)
     state_machine_.leader_changed();
-  finish_proposal(at, entry_term, std::move(result));
+  complete_proposal(index, entry_term, std::move(result));
   commit_advanced_.wake();
 }
 
-// The entry at `at` is applied. Where it is of another term than the proposal, another leader's entry took its place.
-auto consensus::finish_proposal(log_index at, term_number entry_term, value result) -> void {
-  auto waiting = proposals_.find(at);
-  if (waiting == proposals_.end())
+// Called after the entry at `index` is applied; wakes the caller of the proposal at that index. If the entry has
+// another term than the proposal, the entry of another leader has replaced the proposed command.
+auto consensus::complete_proposal(log_index index, term_number entry_term, value result) -> void {
+  auto pending = proposals_.find(index);
+  if (pending == proposals_.end())
     return;
-  if (waiting->second->term == entry_term)
-    waiting->second->result = std::move(result);
+  if (pending->second->term == entry_term)
+    pending->second->result = std::move(result);
   else
-    waiting->second->abandoned = true;
-  waiting->second->done.wake();
-  proposals_.erase(waiting);
+    pending->second->abandoned = true;
+  pending->second->done.wake();
+  proposals_.erase(pending);
 }
 
+// Applies committed entries for the lifetime of the replica, and compacts the log when a snapshot is due.
 auto consensus::apply_committed() -> task<void> {
   while (true) {
     while (applied_index_ < commit_index_)
--- a/src/raft/consensus.hpp
+++ b/src/raft/consensus.hpp
@@ -1,6 +1,6 @@
-// The replicated log: entries that a majority of voters agrees on and has synced (Raft by Ongaro and Ousterhout; design
-// 4). One object is one replica; the control node owns it, hands it the requests of other replicas, proposes commands
-// and reads behind a barrier.
+// The replicated log (Raft by Ongaro and Ousterhout; design 4). An entry is committed once a majority of the voters has
+// synced it to disk. Each control node owns one `consensus` object, which is one replica. The control node forwards the
+// requests of other replicas to it, proposes commands, and calls read_barrier() before it reads the state.
 #pragma once
 #include <functional>
 #include <map>
@@ -22,34 +22,41 @@
 
 namespace reachridge {
 
-constexpr auto min_voters = std::size_t{3};              // voters that silence alone does not bring below
-constexpr auto max_command_bytes = max_frame_bytes / 2;  // of one command: it must fit into a frame by itself
+// The leader removes an unresponsive voter only if at least this many voters remain.
+constexpr auto min_voters_after_removal = std::size_t{3};
+// The limit on the size of one command in bytes: a frame must be able to carry a command by itself.
+constexpr auto max_command_bytes = max_frame_bytes / 2;
 
+// One replica of the replicated log. Not thread-safe: all calls come from the thread of the host's event loop.
 class consensus {
  public:
-  // What the log is kept for. All is called from the log's own tasks.
+  // Callbacks into the replicated state machine, and the limits of the log. `consensus` calls them from its own tasks.
   struct state_machine {
-    std::function<value(std::int64_t index, const value& command)> apply;  // a committed command, in order
+    // Applies a committed command and returns its result; called in log order.
+    std::function<value(std::int64_t index, const value& command)> apply;
     std::function<value()> take_snapshot;
-    std::function<void(const value&)> restore;  // throws before it changes anything if the state is malformed
-    std::function<void()> leader_changed;       // another leads, or this leader's leadership has settled
+    std::function<void(const value&)> restore;  // throws on a malformed state, before it changes anything
+    std::function<void()> leader_changed;       // the leader changed, or leadership_established() became true
     log_limits limits = {};
   };
-  // Reads the disk and goes on from there. Throws what log_storage::load throws.
+  // Loads the log from the disk and starts the tasks of the replica. Throws the errors of log_storage::load.
   consensus(host& process_host, const settings& node_settings, state_machine machine);
 
-  // Answers a request of another replica; `operation` is its name on the wire (raft_operation). Throws
-  // `errc::malformed` on one that is unknown or malformed, before anything changes.
+  // Handles a request of another replica and returns the reply. `operation` is the wire name of a raft_operation.
+  // Throws `errc::malformed` if the operation is unknown or the message is malformed; the state is then unchanged.
   auto handle_request(std::string operation, value message) -> task<value>;
-  // Appends a command to the log; gives what applying it gave. Leader only: else `errc::no_leader`. `errc::unclear`
-  // where it is not known by `until` whether it is committed.
-  auto propose(value command, monotonic_time until) -> task<value>;
-  // Returns once everything committed before the call has been applied here, and a majority has confirmed since the
-  // call that this replica leads (Raft, section 8). Leader only; `errc::no_leader` otherwise, or after `until`.
-  auto read_barrier(monotonic_time until) -> task<void>;
-
-  // Hands the leadership to a follower that has everything, if this one leads. It confirms nothing more from then on.
-  auto transfer_leadership(monotonic_time until) -> task<void>;
+  // Appends a command to the log, waits until it is applied, and returns the result of applying it. Throws
+  // `errc::no_leader` if this replica is not the leader, `errc::too_large` if the command exceeds max_command_bytes,
+  // and `errc::unclear` if it is not known by `deadline` whether the command is committed.
+  auto propose(value command, monotonic_time deadline) -> task<value>;
+  // Makes a subsequent local read linearizable (Raft, section 8): returns once a majority has confirmed, after the
+  // call, that this replica is the leader, and every entry committed before the call is applied. Throws
+  // `errc::no_leader` if this replica is not the leader or `deadline` passes.
+  auto read_barrier(monotonic_time deadline) -> task<void>;
+
+  // Called when this process shuts down. If this replica is the leader, asks a follower whose log is complete to take
+  // over. From the first such request on, this leader rejects proposals and reports no quorum contact.
+  auto transfer_leadership(monotonic_time deadline) -> task<void>;
   [[nodiscard]] auto is_leader() const -> bool {
     return role_ == replica_role::leader;
   }
@@ -59,91 +66,96 @@
   [[nodiscard]] auto leader_since() const -> monotonic_time {
     return leader_since_;
   }
-  // Leads, and a majority has taken the entry that opened this leadership.
+  // Returns whether this replica is the leader and has committed and applied the first entry of its term.
   [[nodiscard]] auto leadership_established() const -> bool {
-    return is_leader() && applied_index_ >= first_own_index_;
+    return is_leader() && applied_index_ >= term_start_index_;
   }
-  // When a majority last confirmed this leader; never, once it has asked another to run for election.
+  // Returns the latest time at which a majority is known to have followed this leader. Returns `-never` once this
+  // leader has asked another replica to start an election.
   [[nodiscard]] auto last_quorum_contact() const -> monotonic_time;
   [[nodiscard]] auto commit_index() const -> std::int64_t {
     return commit_index_.get();
   }
-  [[nodiscard]] auto status() const -> value;  // for /status
-  // The connection to another control node, made where there is none yet.
+  // Returns the encoded raft_status for the /status page.
+  [[nodiscard]] auto status() const -> value;
+  // Returns the connection to another control node and creates it on first use.
   auto peer(const std::string& address) -> peer_connection&;
-  // Asks the leader, wherever it is; throws `errc::no_leader` while none is known.
-  auto call_leader(value message, monotonic_time until) -> task<value>;
+  // Sends a request to the leader on another control node and returns its reply. Throws `errc::no_leader` if no other
+  // control node is known to be the leader.
+  auto call_leader(value message, monotonic_time deadline) -> task<value>;
   [[nodiscard]] auto disk_id() const -> const disk_identifier& {
-    return self_.disk_id;
+    return local_voter_.disk_id;
   }
   [[nodiscard]] auto voters() const -> const std::vector<voter>& {
     return log_.members().voters;
   }
+  // Returns the latest membership in the log, committed or not.
   [[nodiscard]] auto members() const -> const membership& {
     return log_.members();
-  }  // as the log has them
+  }
+  // Returns the size of the entries in memory, in bytes.
   [[nodiscard]] auto log_bytes() const -> std::size_t {
     return log_.bytes();
-  }  // of the entries in memory
+  }
 
  private:
   enum class replica_role { follower, candidate, leader };
-  // A pre-vote asks whether an election could be won and changes nothing, so that a replica that is cut off does not
-  // raise terms (Raft thesis 9.6).
+  // A pre-vote asks whether an election could be won, without changing any state. It prevents a partitioned replica
+  // from raising the term again and again (Raft thesis 9.6).
   enum class election_round { pre_vote, vote };
 
-  // A command whose caller waits.
+  // A proposed command whose caller waits for the result.
   struct proposal {
     term_number term;
     std::optional<value> result;
-    bool abandoned = false;
+    bool abandoned = false;  // the result will not become known on this replica
     signal done;
   };
 
   // Roles and elections (election.cpp).
   [[nodiscard]] auto may_vote() const -> bool {
-    return log_.initialized && log_.members().contains(self_);
+    return log_.initialized && log_.members().contains(local_voter_);
   }
   auto become_follower(term_number new_term, const std::string& new_leader) -> void;
-  auto abandon_leadership() -> void;
+  auto clear_leader_state() -> void;
   auto become_leader() -> void;
   auto accept_leader(term_number leader_term, const std::string& leader, const char* message) -> void;
-  auto election_timer() -> task<void>;
-  auto lead_for_one_heartbeat() -> task<void>;
+  auto run_current_role() -> task<void>;
+  auto run_leader_interval() -> task<void>;
   auto follow_until_election() -> task<void>;
   [[nodiscard]] auto election_due() const -> bool;
-  [[nodiscard]] auto random_wait(monotonic_time limit) const -> monotonic_time;
-  [[nodiscard]] auto next_election() const -> monotonic_time;
+  [[nodiscard]] auto random_duration(monotonic_time limit) const -> monotonic_time;
+  [[nodiscard]] auto next_election_time() const -> monotonic_time;
   auto campaign(election_round round) -> task<bool>;
   auto become_candidate(term_number election_term) -> task<bool>;
-  [[nodiscard]] auto still_runs(election_round round, term_number election_term) const -> bool;
+  [[nodiscard]] auto is_still_campaigning(election_round round, term_number election_term) const -> bool;
   auto request_votes(election_round round, term_number election_term) -> std::shared_ptr<vote_tally>;
   auto request_vote(voter from, value request, std::shared_ptr<vote_tally> tally) -> task<void>;
   auto campaign_on_transfer() -> task<void>;
-  auto hand_over_to(voter successor) -> task<bool>;
+  auto send_timeout_now(voter successor) -> task<bool>;
   auto on_leader_process_gone(const std::string& address) -> void;
   auto on_vote_request(vote_request request) -> task<vote_reply>;
   auto on_timeout_now(timeout_now_request request) -> acknowledgement;
 
   // Replication (replication.cpp).
   [[nodiscard]] auto progress_of(const voter& follower) const -> const follower_progress*;
-  [[nodiscard]] auto majority_contact() const -> monotonic_time;
+  [[nodiscard]] auto last_majority_contact() const -> monotonic_time;
   [[nodiscard]] auto leads_follower(const voter& follower, term_number leader_term) const -> bool;
   auto start_replication(const voter& follower) -> void;
   auto replicate(voter follower, term_number leader_term) -> task<void>;
   auto send_next(voter follower, term_number leader_term) -> task<bool>;
   auto send_entries(voter follower, term_number leader_term) -> task<bool>;
   [[nodiscard]] auto next_entries(const voter& follower, term_number leader_term) const -> append_request;
-  auto heartbeat_while_sending(voter follower, term_number leader_term) -> task<void>;
+  auto send_heartbeats_during_call(voter follower, term_number leader_term) -> task<void>;
   auto send_extra_heartbeat(voter follower, term_number leader_term) -> task<bool>;
-  auto exchange(voter follower, term_number leader_term, value request) -> task<value>;
-  auto adapt_window(const voter& follower, monotonic_time took) -> void;
+  auto call_with_heartbeats(voter follower, term_number leader_term, value request) -> task<value>;
+  auto adapt_window(const voter& follower, monotonic_time duration) -> void;
   auto sync_own_log() -> task<void>;
   auto advance_commit() -> void;
   auto on_append(append_request request) -> task<append_reply>;
-  auto append_missing(const append_request& request) -> log_index;
-  [[nodiscard]] auto refuse_append() const -> append_reply;
-  [[nodiscard]] auto refuse_gap(const append_request& request) const -> append_reply;
+  auto append_missing_entries(const append_request& request) -> log_index;
+  [[nodiscard]] auto reject_append() const -> append_reply;
+  [[nodiscard]] auto reject_log_mismatch(const append_request& request) const -> append_reply;
 
   // Snapshots (snapshot.cpp).
   auto current_snapshot_image() -> std::shared_ptr<const snapshot_image>;
@@ -152,76 +164,77 @@
   auto on_snapshot_chunk(snapshot_chunk chunk) -> task<snapshot_reply>;
   auto install_snapshot() -> void;
   auto compact() -> void;
-  [[nodiscard]] auto needed_index() const -> log_index;  // entries after it are still to be sent to somebody
+  // Returns the index up to which entries may be dropped from memory: no responsive follower still needs them.
+  [[nodiscard]] auto needed_index() const -> log_index;
 
   // Membership (membership.cpp).
   [[nodiscard]] auto is_voter(const voter& candidate) const -> bool;
   [[nodiscard]] auto is_voter_address(const std::string& address) const -> bool;
-  [[nodiscard]] auto peers() const -> std::vector<std::string>;  // seeds and voters, this one not among them
-  // Leader only; the longest silent first.
-  [[nodiscard]] auto silent_voters(monotonic_time span) const -> std::vector<voter>;
+  // Returns the addresses of all voters and seeds except this replica.
+  [[nodiscard]] auto peer_addresses() const -> std::vector<std::string>;
+  // Returns the voters that have not replied to this leader for more than `duration`, the longest unresponsive first.
+  [[nodiscard]] auto unresponsive_voters(monotonic_time duration) const -> std::vector<voter>;
   [[nodiscard]] auto change_pending() const -> bool;
   auto check_no_change_pending() const -> void;
-  [[nodiscard]] auto voters_with(const voter& joining) const -> std::vector<voter>;
-  auto change_voters(std::vector<voter> next, monotonic_time until) -> task<void>;
+  [[nodiscard]] auto voters_after_join(const voter& joining) const -> std::vector<voter>;
+  auto change_voters(std::vector<voter> new_voters, monotonic_time deadline) -> task<void>;
   auto finish_joint_change() -> void;
-  auto remove_voter(voter silent) -> task<void>;
-  auto start_learner(const voter& joining) -> void;
-  auto drop_silent_learners() -> void;
-  auto caught_up(voter learner, monotonic_time until) -> task<bool>;
+  auto remove_voter(voter target) -> task<void>;
+  auto add_learner(const voter& joining) -> void;
+  auto remove_unresponsive_learners() -> void;
+  auto wait_until_caught_up(voter learner, monotonic_time deadline) -> task<bool>;
   auto on_join(join_request request) -> task<value>;
   auto forward_join(join_request request) -> task<value>;
-  auto check_may_join(const join_request& request) const -> void;
+  auto check_join_allowed(const join_request& request) const -> void;
   auto admit_voter(voter joining) -> task<void>;
   [[nodiscard]] auto on_describe(const describe_request& request) const -> describe_reply;
 
-  // Founding a log and joining one (bootstrap.cpp).
-  struct seed_survey;
+  // Creating a new log and joining an existing one (bootstrap.cpp).
+  struct peer_survey;
   auto describe_peer(std::string address, describe_request request) -> task<describe_reply>;
-  auto bootstrap() -> task<void>;
-  auto survey_peers(std::vector<voter> blank_seeds) -> task<seed_survey>;
-  auto found_log(std::vector<voter> founders) -> task<void>;
-  auto join(std::string via) -> task<void>;
+  auto bootstrap_or_join() -> task<void>;
+  auto survey_peers(std::vector<voter> responders) -> task<peer_survey>;
+  auto bootstrap_log(std::vector<voter> initial_voters) -> task<void>;
+  auto join(std::string contact_address) -> task<void>;
   auto rejoin() -> task<void>;
 
   // Committed entries (consensus.cpp).
   auto apply_committed() -> task<void>;
   auto apply_next() -> void;
-  auto finish_proposal(log_index at, term_number entry_term, value result) -> void;
-  [[nodiscard]] auto retry_after_heartbeat(errc code, const char* message, execution_outcome outcome) const
-      -> request_error;
+  auto complete_proposal(log_index index, term_number entry_term, value result) -> void;
+  [[nodiscard]] auto retryable_error(errc code, const char* message, execution_outcome outcome) const -> request_error;
 
   // Status (status.cpp).
   [[nodiscard]] auto voter_statuses() const -> std::vector<voter_status>;
-  [[nodiscard]] auto status_of(const voter& one, const char* standing) const -> voter_status;
+  [[nodiscard]] auto status_of(const voter& member, const char* membership_state) const -> voter_status;
   [[nodiscard]] auto role_name() const -> const char*;
 
   host& host_;
   settings settings_;
   state_machine state_machine_;
   log_storage log_;
-  voter self_;
+  voter local_voter_;
   monotonic_time election_timeout_;
   replica_role role_ = replica_role::follower;
-  std::string leader_address_;  // empty: none is known
+  std::string leader_address_;  // empty: no leader is known
   log_index commit_index_;
   log_index applied_index_;
   monotonic_time last_leader_contact_ = -never;
   monotonic_time leader_since_ = 0;
-  monotonic_time leader_process_gone_at_ = -never;  // when the leader's process was last known to be dead
-  log_index first_own_index_;                       // of the entry that opened this leadership
-  std::map<voter, follower_progress> progress_;     // while this one leads
+  monotonic_time leader_process_gone_at_ = -never;  // last time the leader's process was found to have exited
+  log_index term_start_index_;                      // index of the first entry that this leader appended in its term
+  std::map<voter, follower_progress> progress_;     // maintained only on the leader
   std::map<log_index, std::shared_ptr<proposal>> proposals_;
-  std::set<voter> learners_;  // followers that are brought up and vote in nothing yet
+  std::set<voter> learners_;  // non-voting followers that are catching up; maintained only on the leader
   std::map<std::string, std::unique_ptr<peer_connection>> connections_;
-  std::weak_ptr<const snapshot_image> last_image_;
+  std::weak_ptr<const snapshot_image> cached_image_;
   snapshot_assembly incoming_snapshot_;
-  signal log_grown_, commit_advanced_, reply_received_, leader_lost_;
-  bool leaving_ = false;             // this process ends: it runs for no election
-  bool transferring_ = false;        // another was asked to run: this leader confirms nothing more
-  bool election_requested_ = false;  // the leader asked this one to run
-  bool joining_ = false;             // rejoin() is under way
-  bool campaigned_ = false;          // this process has run for an election
+  signal replication_needed_, commit_advanced_, reply_received_, leader_lost_;
+  bool shutting_down_ = false;       // the process is shutting down, so this replica starts no more elections
+  bool transferring_ = false;        // this leader has asked a follower to take over (see transfer_leadership)
+  bool election_requested_ = false;  // the leader has asked this replica to start an election
+  bool rejoining_ = false;           // rejoin() is in progress
+  bool has_campaigned_ = false;      // this process has started an election before
   task_group tasks_;
 };
 
--- a/src/raft/election.cpp
+++ b/src/raft/election.cpp
@@ -1,4 +1,4 @@
-// Elections: who leads, when a voter runs, how a leader hands over (Raft, section 5.2; design 4.1, 4.4).
+// Roles and elections: pre-votes, votes, leader liveness, and leadership transfer (Raft, section 5.2; design 4.1, 4.4).
 #include <algorithm>
 
 #include "raft/consensus.hpp"
@@ -7,73 +7,80 @@
 namespace reachridge {
 namespace {
 
-// In failure timeouts.
-constexpr auto removal_timeouts = 5;  // a voter silent for so long is removed
-constexpr auto rejoin_timeouts = 2;   // a voter that hears no leader for so long asks whether it still is one
+// Durations in failure timeouts.
+constexpr auto removal_timeouts = 5;  // the leader removes a voter that has not replied for this time
+constexpr auto rejoin_timeouts = 2;   // a voter that hears from no leader for this time checks whether it was removed
 
 }  // namespace
 
+// Follows `new_leader` (empty: unknown) in `new_term`. If the term is higher, clears the vote and saves
+// the metadata.
 auto consensus::become_follower(term_number new_term, const std::string& new_leader) -> void {
-  auto led = is_leader();
+  auto was_leader = is_leader();
   if (new_term > log_.term) {
     log_.term = new_term;
     log_.voted_for.clear();
     log_.save_metadata();
   }
   role_ = replica_role::follower;
-  auto changed = leader_address_ != new_leader || led;
+  auto leader_has_changed = leader_address_ != new_leader || was_leader;
   leader_address_ = new_leader;
-  if (led)
-    abandon_leadership();
-  if (changed && state_machine_.leader_changed)
+  if (was_leader)
+    clear_leader_state();
+  if (leader_has_changed && state_machine_.leader_changed)
     state_machine_.leader_changed();
 }
 
-// Proposals that wait may still be committed by the next leader: their callers learn that the outcome is not known.
-auto consensus::abandon_leadership() -> void {
+// Clears the state that only a leader has. The next leader may still commit the pending proposals, so their callers
+// receive an error that says that the outcome is unknown.
+auto consensus::clear_leader_state() -> void {
   reachridge::log(log_level::info, settings_.name, "leads no longer, term " + to_string(log_.term));
-  for (auto& [at, waiting] : proposals_) {
-    waiting->abandoned = true;
-    waiting->done.wake();
+  for (auto& [index, pending] : proposals_) {
+    pending->abandoned = true;
+    pending->done.wake();
   }
   proposals_.clear();
   progress_.clear();
   learners_.clear();
-  log_grown_.wake();
+  replication_needed_.wake();
   reply_received_.wake();
 }
 
 auto consensus::become_leader() -> void {
   role_ = replica_role::leader;
-  leader_address_ = self_.address;
+  leader_address_ = local_voter_.address;
   leader_since_ = host_.now();
   transferring_ = false;
   progress_.clear();
   learners_.clear();
   reachridge::log(log_level::info, settings_.name, "leads the replicated log, term " + to_string(log_.term));
-  // Entries of earlier terms are committed by one of this term only (Raft, section 5.4.2), so one is put at once.
-  // Voters of an earlier change may be joint still: they are stated as they are, and finished once this is committed.
-  auto command = membership_command{log_.members(), log_.log_id().empty() ? self_.disk_id : log_.log_id()};
-  first_own_index_ = log_.append(log_.term, encode(command));
+  // Entries of earlier terms become committed only together with an entry of the current term (Raft, section 5.4.2), so
+  // the leader appends an entry immediately. The entry repeats the current membership. If that membership is still
+  // joint, finish_joint_change() completes the change after this entry is committed.
+  auto command = membership_command{log_.members(), log_.log_id().empty() ? local_voter_.disk_id : log_.log_id()};
+  term_start_index_ = log_.append(log_.term, encode(command));
   tasks_.spawn(sync_own_log());
-  for (const auto& one : log_.members().all())
-    start_replication(one);
+  for (const auto& member : log_.members().all())
+    start_replication(member);
   if (state_machine_.leader_changed)
     state_machine_.leader_changed();
 }
 
-// A request of the leader of `leader_term`, which is not below the own one. `message` names it in errors.
+// Called for a request from the leader of `leader_term`, which is at least the local term: follows that leader and
+// restarts the election timeout. `message` is the name of the request in error messages. Throws `errc::conflict` if
+// this replica is itself the leader of that term.
 auto consensus::accept_leader(term_number leader_term, const std::string& leader, const char* message) -> void {
   if (leader_term == log_.term && is_leader())
     throw request_error(errc::conflict, std::string(message) + ": another leads this term here");
-  auto follows_it = leader_term == log_.term && role_ == replica_role::follower && leader_address_ == leader;
-  if (!follows_it)
+  auto already_follows = leader_term == log_.term && role_ == replica_role::follower && leader_address_ == leader;
+  if (!already_follows)
     become_follower(leader_term, leader);
   last_leader_contact_ = host_.now();
 }
 
-// The leader's connection was closed and its address refuses: its process is dead, and the quiet
-// promised to it has no one left to protect (design 4.4).
+// Called when the connection to the process at `address` was closed and the address refuses new connections, which
+// means that the process has exited. If the process was the leader, this replica no longer has to reject other
+// candidates to protect that leader (design 4.4).
 auto consensus::on_leader_process_gone(const std::string& address) -> void {
   if (role_ != replica_role::follower || leader_address_ != address)
     return;
@@ -84,59 +91,65 @@
   leader_lost_.wake();
 }
 
-auto consensus::lead_for_one_heartbeat() -> task<void> {
+// Waits for one heartbeat interval. Then steps down if no majority has replied within the election timeout; otherwise
+// drops unresponsive learners and removes an unresponsive voter.
+auto consensus::run_leader_interval() -> task<void> {
   co_await sleep_for(host_, settings_.heartbeat_interval);
   if (!is_leader())
     co_return;
-  if (host_.now() - majority_contact() > election_timeout_) {
+  if (host_.now() - last_majority_contact() > election_timeout_) {
     reachridge::log(log_level::warning, settings_.name, "a majority is out of reach");
     become_follower(log_.term, "");
     last_leader_contact_ = host_.now();
     co_return;
   }
-  drop_silent_learners();
-  // One gone for good must not count in every majority; none goes by silence alone where few are left.
-  auto silent = silent_voters(settings_.failure_timeout * removal_timeouts);
-  auto may_remove = leadership_established() && !change_pending() && voters().size() > min_voters;
-  if (may_remove && !silent.empty())
-    tasks_.spawn(remove_voter(silent.front()));
+  remove_unresponsive_learners();
+  // A voter that is lost for good must not raise the size of the majority forever. The last min_voters_after_removal
+  // voters stay even if they are unresponsive.
+  auto unresponsive = unresponsive_voters(settings_.failure_timeout * removal_timeouts);
+  auto may_remove = leadership_established() && !change_pending() && voters().size() > min_voters_after_removal;
+  if (may_remove && !unresponsive.empty())
+    tasks_.spawn(remove_voter(unresponsive.front()));
 }
 
-auto consensus::random_wait(monotonic_time limit) const -> monotonic_time {
+// Returns a random duration below `limit`.
+auto consensus::random_duration(monotonic_time limit) const -> monotonic_time {
   return static_cast<monotonic_time>(host_.random_below(static_cast<std::uint64_t>(limit)));
 }
 
-// When this voter runs next, if it hears no leader until then. Waits are random so that the votes do not split (Raft,
-// section 5.2).
-auto consensus::next_election() const -> monotonic_time {
-  const auto all = log_.members().all();
-  // The first try of a process goes by the order of the voters: after a start of all, chance would only add to the
-  // wait.
-  auto position = std::find(all.begin(), all.end(), self_) - all.begin();
-  auto ordered_wait = position * settings_.heartbeat_interval / 2 + random_wait(settings_.heartbeat_interval / 4);
-  auto wait = campaigned_ ? random_wait(election_timeout_) : ordered_wait;
-  auto due = std::max(last_leader_contact_, host_.now() - election_timeout_) + election_timeout_ + wait;
-  // No leader to keep quiet for: at once, one after the other.
-  auto leader_is_gone = host_.now() - leader_process_gone_at_ < election_timeout_;
-  auto quiet_is_over = host_.now() - last_leader_contact_ >= election_timeout_;
-  if (leader_is_gone && quiet_is_over)
-    due = host_.now() + ordered_wait;
-  return due;
+// Returns the time at which this voter starts an election unless it hears from a leader first. The delay is random to
+// avoid split votes (Raft, section 5.2).
+auto consensus::next_election_time() const -> monotonic_time {
+  const auto all_members = log_.members().all();
+  // For the first election of a process the delay depends on the position in the list of voters. When all voters start
+  // at the same time, a random delay would only make the election take longer.
+  auto position = std::find(all_members.begin(), all_members.end(), local_voter_) - all_members.begin();
+  auto ordered_wait = position * settings_.heartbeat_interval / 2 + random_duration(settings_.heartbeat_interval / 4);
+  auto wait = has_campaigned_ ? random_duration(election_timeout_) : ordered_wait;
+  auto election_time = std::max(last_leader_contact_, host_.now() - election_timeout_) + election_timeout_ + wait;
+  // If the leader's process has exited, the voters do not wait for the election timeout. They start elections in the
+  // order of the list.
+  auto leader_process_is_gone = host_.now() - leader_process_gone_at_ < election_timeout_;
+  auto election_timeout_elapsed = host_.now() - last_leader_contact_ >= election_timeout_;
+  if (leader_process_is_gone && election_timeout_elapsed)
+    election_time = host_.now() + ordered_wait;
+  return election_time;
 }
 
-// The one clock of the log: founding, elections, and a leader that lost its majority.
-auto consensus::election_timer() -> task<void> {
+// Runs for the lifetime of the replica and performs the periodic work of its current role: bootstrap, elections, or the
+// liveness checks of a leader.
+auto consensus::run_current_role() -> task<void> {
   try {
     co_await log_.sync();
   } catch (const request_error&) {
   }
   while (true) {
-    if (log_.failed() && !is_leader())  // it can neither vote nor run nor join: it only listens
+    if (log_.failed() && !is_leader())  // without a working disk it cannot vote, start an election or join
       co_await sleep_for(host_, settings_.heartbeat_interval);
     else if (!may_vote())
-      co_await bootstrap();
+      co_await bootstrap_or_join();
     else if (is_leader())
-      co_await lead_for_one_heartbeat();
+      co_await run_leader_interval();
     else
       co_await follow_until_election();
   }
@@ -145,21 +158,21 @@
 auto consensus::election_due() const -> bool {
   if (is_leader() || host_.now() - last_leader_contact_ < election_timeout_)
     return false;
-  return may_vote() && !leaving_ && role_ != replica_role::candidate;
+  return may_vote() && !shutting_down_ && role_ != replica_role::candidate;
 }
 
-// Waits for the next election, and runs if no leader has been heard until then.
+// Waits until the next election time. Starts an election if this voter has heard from no leader by then.
 auto consensus::follow_until_election() -> task<void> {
-  auto leader_lost = co_await leader_lost_.wait(host_, next_election());
+  auto leader_lost = co_await leader_lost_.wait(host_, next_election_time());
   if (leader_lost || !election_due())
     co_return;
   if (!leader_address_.empty())
     become_follower(log_.term, "");
-  campaigned_ = true;
+  has_campaigned_ = true;
   auto won = co_await campaign(election_round::pre_vote);
-  // Perhaps it was removed from the voters while it was not reachable.
-  auto silent_for = host_.now() - last_leader_contact_;
-  if (!won && !joining_ && silent_for > settings_.failure_timeout * rejoin_timeouts)
+  // The other voters may have removed this voter while it was unreachable.
+  auto leaderless_for = host_.now() - last_leader_contact_;
+  if (!won && !rejoining_ && leaderless_for > settings_.failure_timeout * rejoin_timeouts)
     tasks_.spawn(rejoin());
   if (!won || host_.now() - last_leader_contact_ < election_timeout_)
     co_return;
@@ -168,12 +181,12 @@
     become_leader();
 }
 
-// Raises the term and votes for itself. The vote is synced before others are asked: a vote that a loss of power takes
-// back could be given twice in one term. False: the disk fails.
+// Starts `election_term` and votes for this replica. The vote is synced before any other vote is requested: if a power
+// loss undid the vote, this voter could vote twice in the term. Returns false if the disk fails.
 auto consensus::become_candidate(term_number election_term) -> task<bool> {
   role_ = replica_role::candidate;
   log_.term = election_term;
-  log_.voted_for = self_.address;
+  log_.voted_for = local_voter_.address;
   log_.save_metadata();
   try {
     co_await log_.sync();
@@ -185,24 +198,26 @@
   co_return true;
 }
 
-auto consensus::still_runs(election_round round, term_number election_term) const -> bool {
+// Returns whether the term and role still allow this election round to succeed.
+auto consensus::is_still_campaigning(election_round round, term_number election_term) const -> bool {
   if (round == election_round::pre_vote)
     return log_.term < election_term;
   return log_.term == election_term && role_ == replica_role::candidate;
 }
 
+// Sends a vote request to every other voter. The returned tally collects the replies.
 auto consensus::request_votes(election_round round, term_number election_term) -> std::shared_ptr<vote_tally> {
   auto tally = std::make_shared<vote_tally>();
-  tally->grant(self_);
-  auto dry_run = round == election_round::pre_vote;
+  tally->add_vote(local_voter_);
+  auto is_pre_vote = round == election_round::pre_vote;
   auto last_term = log_.term_at(log_.last());
-  auto request =
-      encode(vote_request{self_.address, election_term, log_.last(), last_term, dry_run, election_requested_});
-  for (const auto& one : log_.members().all()) {
-    if (one == self_)
+  auto request = encode(
+      vote_request{local_voter_.address, election_term, log_.last(), last_term, is_pre_vote, election_requested_});
+  for (const auto& member : log_.members().all()) {
+    if (member == local_voter_)
       continue;
-    tally->expect_answer();
-    tasks_.spawn(request_vote(one, request, tally));
+    tally->add_request();
+    tasks_.spawn(request_vote(member, request, tally));
   }
   return tally;
 }
@@ -213,15 +228,16 @@
     auto reply = decode_vote_reply(answer);
     if (reply.term > log_.term)
       become_follower(reply.term, "");
-    // The vote of one that lost its disk does not count: its disk is not the voter's.
+    // A reply from a different disk at the address is not a vote of that voter: the voter has lost its disk.
     if (reply.granted && reply.disk_id == from.disk_id)
-      tally->grant(from);
+      tally->add_vote(from);
   } catch (const request_error&) {
   }
-  tally->answered();
+  tally->finish_request();
 }
 
-// Runs for one round of an election; true: a majority of the voters, as the log then has them, grants its vote.
+// Runs one election round. Returns true if a majority of the voters grants its vote. The voters are those of the latest
+// membership in the log when the votes are counted.
 auto consensus::campaign(election_round round) -> task<bool> {
   auto election_term = log_.term + 1;
   if (round == election_round::vote) {
@@ -229,19 +245,19 @@
     if (!durable)
       co_return false;
   }
-  if (!still_runs(round, election_term))
+  if (!is_still_campaigning(round, election_term))
     co_return false;
   auto tally = request_votes(round, election_term);
-  auto end = host_.now() + election_timeout_;
-  while (!tally->won(log_.members()) && !tally->all_answered() && host_.now() < end &&
-         still_runs(round, election_term)) {
-    auto in_time = co_await tally->changed.wait(host_, end);
+  auto deadline = host_.now() + election_timeout_;
+  while (!tally->has_majority(log_.members()) && !tally->all_replied() && host_.now() < deadline &&
+         is_still_campaigning(round, election_term)) {
+    auto in_time = co_await tally->changed.wait(host_, deadline);
     if (!in_time)
       break;
   }
-  if (!still_runs(round, election_term))
+  if (!is_still_campaigning(round, election_term))
     co_return false;
-  if (tally->won(log_.members()))
+  if (tally->has_majority(log_.members()))
     co_return true;
   if (round == election_round::vote)
     role_ = replica_role::follower;
@@ -263,45 +279,49 @@
 }
 
 auto consensus::on_vote_request(vote_request request) -> task<vote_reply> {
-  // Who has all committed entries has a log at least as new as that of a majority (Raft, section 5.4.1).
+  // A candidate with all committed entries has a log that is at least as up-to-date as the logs of a majority (Raft,
+  // section 5.4.1).
   auto own_last_term = log_.term_at(log_.last());
-  auto as_new =
+  auto is_up_to_date =
       request.last_term > own_last_term || (request.last_term == own_last_term && request.last_index >= log_.last());
-  // Who still hears a leader keeps it.
-  auto keeps_leader = (is_leader() || host_.now() - last_leader_contact_ < election_timeout_) && !request.transfer;
-  // It votes also where this disk is not among the voters of its own log yet: the newest voters may be known to the
-  // candidate alone, which counts by disk.
-  if (!log_.initialized || request.term < log_.term || keeps_leader)
-    co_return vote_reply{log_.term, false, self_.disk_id};
-  if (request.dry_run)
-    co_return vote_reply{log_.term, as_new && request.term > log_.term, self_.disk_id};
+  // A voter that has recently heard from a leader protects that leader, unless the leader itself asked for the
+  // election.
+  auto ignores_candidate =
+      (is_leader() || host_.now() - last_leader_contact_ < election_timeout_) && !request.is_leadership_transfer;
+  // This replica votes even if its own log does not list it as a voter: the candidate may have a newer membership, and
+  // the candidate counts votes by disk.
+  if (!log_.initialized || request.term < log_.term || ignores_candidate)
+    co_return vote_reply{log_.term, false, local_voter_.disk_id};
+  if (request.is_pre_vote)
+    co_return vote_reply{log_.term, is_up_to_date && request.term > log_.term, local_voter_.disk_id};
   if (request.term > log_.term)
     become_follower(request.term, "");
-  auto granted = as_new && (log_.voted_for.empty() || log_.voted_for == request.candidate);
+  auto granted = is_up_to_date && (log_.voted_for.empty() || log_.voted_for == request.candidate);
   if (granted) {
     log_.voted_for = request.candidate;
     log_.save_metadata();
     last_leader_contact_ = host_.now();
   }
-  // Synced before it is answered: a vote that a loss of power takes back could be given twice in one term.
+  // The vote is synced before the reply: if a power loss undid the vote, this voter could vote twice in the term.
   co_await log_.sync();
   if (log_.term != request.term)
     granted = false;
-  co_return vote_reply{log_.term, granted, self_.disk_id};
+  co_return vote_reply{log_.term, granted, local_voter_.disk_id};
 }
 
-// A follower that is asked to run does not wait for silence, and voters let it (`transfer`; Raft thesis 3.10). From the
-// first such request on this leader gives no lease and confirms nothing: another may lead already.
-auto consensus::transfer_leadership(monotonic_time until) -> task<void> {
-  leaving_ = true;
-  while (is_leader() && host_.now() < until) {
-    const auto candidates = voters();  // they may change meanwhile
-    for (const auto& one : candidates) {
-      const auto* progress = progress_of(one);
+// Asks followers with a complete log to start an election without waiting for the election timeout; voters accept it
+// because of `is_leadership_transfer` (Raft thesis 3.10). From the first such request on, another replica may already
+// be the leader, so this leader rejects proposals and last_quorum_contact() returns `-never`.
+auto consensus::transfer_leadership(monotonic_time deadline) -> task<void> {
+  shutting_down_ = true;
+  while (is_leader() && host_.now() < deadline) {
+    const auto candidates = voters();  // a copy, because the voters may change during the loop
+    for (const auto& member : candidates) {
+      const auto* progress = progress_of(member);
       if (!progress || progress->match_index < log_.last())
         continue;
-      auto asked = co_await hand_over_to(one);
-      if (!asked)
+      auto acknowledged = co_await send_timeout_now(member);
+      if (!acknowledged)
         continue;
       co_await sleep_for(host_, settings_.heartbeat_interval);
       break;
@@ -310,8 +330,8 @@
   }
 }
 
-// False: it did not answer.
-auto consensus::hand_over_to(voter successor) -> task<bool> {
+// Asks `successor` to start an election. Returns false if it does not reply.
+auto consensus::send_timeout_now(voter successor) -> task<bool> {
   transferring_ = true;
   try {
     auto request = encode(timeout_now_request{log_.term});
--- a/src/raft/membership.cpp
+++ b/src/raft/membership.cpp
@@ -1,4 +1,4 @@
-// Changes of the voters: joining, replacing, removing (Raft, section 6; design 4.5).
+// Membership changes: adding, replacing and removing voters (Raft, section 6; design 4.5).
 #include "raft/membership.hpp"
 
 #include <algorithm>
@@ -9,19 +9,19 @@
 namespace reachridge {
 namespace {
 
-// In failure timeouts.
-constexpr auto replacement_timeouts = 2;  // a voter silent for so long may be replaced by one that joins
-constexpr auto learner_timeouts = 4;      // a learner silent for so long is forgotten
-constexpr auto join_timeouts = 3;         // a request to join that is passed on to the leader
+// Durations in failure timeouts.
+constexpr auto replacement_timeouts = 2;  // a joining voter may replace a voter that has not replied for this time
+constexpr auto learner_timeouts = 4;      // the leader drops a learner that has not replied for this time
+constexpr auto join_timeouts = 3;         // timeout of a join request that is forwarded to the leader
 
-// How many voters are in one of the lists only.
-auto difference(const std::vector<voter>& left, const std::vector<voter>& right) -> std::size_t {
-  auto missing = [](const std::vector<voter>& from, const std::vector<voter>& list) {
-    return std::count_if(from.begin(), from.end(), [&](const voter& one) {
-      return std::find(list.begin(), list.end(), one) == list.end();
+// Returns the number of voters that are in exactly one of the two lists.
+auto count_differences(const std::vector<voter>& left, const std::vector<voter>& right) -> std::size_t {
+  auto count_missing = [](const std::vector<voter>& from, const std::vector<voter>& list) {
+    return std::count_if(from.begin(), from.end(), [&](const voter& member) {
+      return std::find(list.begin(), list.end(), member) == list.end();
     });
   };
-  return static_cast<std::size_t>(missing(left, right) + missing(right, left));
+  return static_cast<std::size_t>(count_missing(left, right) + count_missing(right, left));
 }
 
 }  // namespace
@@ -31,78 +31,81 @@
 }
 
 auto consensus::is_voter_address(const std::string& address) const -> bool {
-  return std::any_of(voters().begin(), voters().end(), [&](const voter& one) {
-    return one.address == address;
+  return std::any_of(voters().begin(), voters().end(), [&](const voter& member) {
+    return member.address == address;
   });
 }
 
-auto consensus::peers() const -> std::vector<std::string> {
+auto consensus::peer_addresses() const -> std::vector<std::string> {
   auto addresses = std::vector<std::string>();
   auto add = [&](const std::string& address) {
     auto known = std::find(addresses.begin(), addresses.end(), address) != addresses.end();
-    if (address != self_.address && !known)
+    if (address != local_voter_.address && !known)
       addresses.push_back(address);
   };
-  for (const auto& one : log_.members().all())
-    add(one.address);
+  for (const auto& member : log_.members().all())
+    add(member.address);
   for (const auto& seed : settings_.seeds)
     add(seed);
   return addresses;
 }
 
-auto consensus::silent_voters(monotonic_time span) const -> std::vector<voter> {
-  auto last_contact_at = [&](const voter& one) {
-    const auto* progress = progress_of(one);
-    return one == self_ || !progress ? host_.now() : progress->last_contact;
+auto consensus::unresponsive_voters(monotonic_time duration) const -> std::vector<voter> {
+  auto last_contact_of = [&](const voter& member) {
+    const auto* progress = progress_of(member);
+    return member == local_voter_ || !progress ? host_.now() : progress->last_contact;
   };
-  auto silent = std::vector<voter>();
-  for (const auto& one : voters())
-    if (host_.now() - last_contact_at(one) > span)
-      silent.push_back(one);
-  std::sort(silent.begin(), silent.end(), [&](const voter& left, const voter& right) {
-    return last_contact_at(left) < last_contact_at(right);
+  auto unresponsive = std::vector<voter>();
+  for (const auto& member : voters())
+    if (host_.now() - last_contact_of(member) > duration)
+      unresponsive.push_back(member);
+  std::sort(unresponsive.begin(), unresponsive.end(), [&](const voter& left, const voter& right) {
+    return last_contact_of(left) < last_contact_of(right);
   });
-  return silent;
+  return unresponsive;
 }
 
-// The next change begins only once the newest voters in the log are committed, whoever put them there and whether or
-// not its client still waits: two changes that are both open could have majorities that do not meet.
+// Returns whether the latest membership in the log is uncommitted or joint. A new change must wait for its end,
+// regardless of which leader appended it and of whether a client still waits for it: the majorities of two concurrent
+// changes might not overlap.
 auto consensus::change_pending() const -> bool {
   return log_.members_index() > commit_index_ || log_.members().joint();
 }
 
 auto consensus::check_no_change_pending() const -> void {
   if (change_pending())
-    throw retry_after_heartbeat(errc::busy, "another voter is being changed", execution_outcome::not_executed);
+    throw retryable_error(errc::busy, "another voter is being changed", execution_outcome::not_executed);
 }
 
-// One voter more or less shares a majority with the list before it. A replacement is both, and goes through a joint
-// list: nobody leaves before the newcomer is in, and no list is ever longer by one that may be lost again.
-auto consensus::change_voters(std::vector<voter> next, monotonic_time until) -> task<void> {
+// Appends a new membership and waits until it is committed and no longer joint. After adding or removing a single
+// voter, every majority of the new list overlaps every majority of the old list. A replacement adds one voter and
+// removes another, so it uses a joint membership: the old voter leaves only when the new voter is in, and no
+// intermediate list has an additional voter, which could be lost as well.
+auto consensus::change_voters(std::vector<voter> new_voters, monotonic_time deadline) -> task<void> {
   if (!leadership_established() || transferring_)
-    throw retry_after_heartbeat(errc::busy, "the leader is not settled", execution_outcome::not_executed);
+    throw retryable_error(errc::busy, "the leader is not settled", execution_outcome::not_executed);
   check_no_change_pending();
   auto term = log_.term;
   auto command = membership_command();
-  command.members.voters = std::move(next);
-  if (difference(command.members.voters, voters()) > 1)
+  command.members.voters = std::move(new_voters);
+  if (count_differences(command.members.voters, voters()) > 1)
     command.members.outgoing = voters();
   auto encoded = encode(command);
-  co_await propose(std::move(encoded), until);
+  co_await propose(std::move(encoded), deadline);
   while (is_leader() && log_.term == term && change_pending()) {
-    auto in_time = co_await commit_advanced_.wait(host_, until);
+    auto in_time = co_await commit_advanced_.wait(host_, deadline);
     if (!in_time)
       break;
   }
   if (!is_leader() || log_.term != term || change_pending())
-    throw retry_after_heartbeat(errc::unclear, "the change of voters was not finished in time",
-                                execution_outcome::unknown);
+    throw retryable_error(errc::unclear, "the change of voters was not finished in time", execution_outcome::unknown);
 }
 
-// Both majorities have taken the joint list, in this term: the new one alone goes on.
+// Appends the final membership after a joint membership is committed. The leader waits until it has also committed an
+// entry of its own term.
 auto consensus::finish_joint_change() -> void {
   auto joint_committed = log_.members().joint() && log_.members_index() <= commit_index_;
-  if (!joint_committed || commit_index_ < first_own_index_)
+  if (!joint_committed || commit_index_ < term_start_index_)
     return;
   auto command = membership_command();
   command.members.voters = log_.members().voters;
@@ -110,33 +113,35 @@
   tasks_.spawn(sync_own_log());
 }
 
-auto consensus::remove_voter(voter silent) -> task<void> {
+// Removes a voter that has been unresponsive for too long. A failure is logged; the leader tries again later.
+auto consensus::remove_voter(voter target) -> task<void> {
   reachridge::log(log_level::warning, settings_.name,
-                  "voter " + silent.address + " has been silent for long; it is removed");
-  auto next = voters();
-  next.erase(std::remove(next.begin(), next.end(), silent), next.end());
+                  "voter " + target.address + " has been silent for long; it is removed");
+  auto new_voters = voters();
+  new_voters.erase(std::remove(new_voters.begin(), new_voters.end(), target), new_voters.end());
   try {
-    co_await change_voters(std::move(next), host_.now() + settings_.failure_timeout);
+    co_await change_voters(std::move(new_voters), host_.now() + settings_.failure_timeout);
   } catch (const request_error& error) {
-    reachridge::log(log_level::info, settings_.name, "voter " + silent.address + ": " + error.what());
+    reachridge::log(log_level::info, settings_.name, "voter " + target.address + ": " + error.what());
   }
 }
 
-// The progress of one that joins is its own: nothing that another disk at its address once held counts for it.
-auto consensus::start_learner(const voter& joining) -> void {
+// Starts replication to a joining disk as a learner. Its progress starts empty: what another disk at the same address
+// held does not count.
+auto consensus::add_learner(const voter& joining) -> void {
   if (learners_.contains(joining) || log_.members().contains(joining))
     return;
-  std::erase_if(learners_, [&](const voter& one) {
-    return one.address == joining.address;
+  std::erase_if(learners_, [&](const voter& member) {
+    return member.address == joining.address;
   });
-  std::erase_if(progress_, [&](const auto& row) {
-    return row.first.address == joining.address && !log_.members().contains(row.first);
+  std::erase_if(progress_, [&](const auto& entry) {
+    return entry.first.address == joining.address && !log_.members().contains(entry.first);
   });
   learners_.insert(joining);
   start_replication(joining);
 }
 
-auto consensus::drop_silent_learners() -> void {
+auto consensus::remove_unresponsive_learners() -> void {
   std::erase_if(learners_, [&](const voter& learner) {
     const auto* progress = progress_of(learner);
     if (!progress)
@@ -146,59 +151,65 @@
   });
 }
 
-// Has it all that was committed when a round began, in a round no longer than an election timeout (Raft thesis 4.2.1)?
-// New entries may come faster than a slow link carries them; then it would only hold up the majority that it joins.
-auto consensus::caught_up(voter learner, monotonic_time until) -> task<bool> {
+// Waits until the learner has caught up (Raft thesis 4.2.1) and returns whether it did so before `deadline`. In each
+// round the learner receives all entries that were committed when the round started. The learner has caught up when a
+// round takes at most an election timeout. A learner whose link is slower than the rate of new entries would delay
+// commits as a voter.
+auto consensus::wait_until_caught_up(voter learner, monotonic_time deadline) -> task<bool> {
   auto term = log_.term;
-  auto round_began = host_.now();
+  auto round_started_at = host_.now();
   auto target = commit_index_;
-  while (leads_follower(learner, term) && host_.now() < until) {
+  while (leads_follower(learner, term) && host_.now() < deadline) {
     if (progress_.at(learner).match_index >= target) {
-      if (host_.now() - round_began <= election_timeout_)
+      if (host_.now() - round_started_at <= election_timeout_)
         co_return true;
-      round_began = host_.now();
+      round_started_at = host_.now();
       target = commit_index_;
     }
-    co_await reply_received_.wait(host_, std::min(until, host_.now() + settings_.heartbeat_interval));
+    co_await reply_received_.wait(host_, std::min(deadline, host_.now() + settings_.heartbeat_interval));
   }
   co_return false;
 }
 
-// It takes the place of the disk that was at its address before; else that of a voter that is lost, at whatever
-// address: nobody waits for it; else there is a voter more.
-auto consensus::voters_with(const voter& joining) const -> std::vector<voter> {
-  auto next = voters();
-  auto same_address = [&](const voter& one) {
-    return one.address == joining.address;
+// Returns the list of voters after `joining` becomes a voter. The joining voter replaces the voter at the same address
+// if there is one, otherwise the voter that has been unresponsive for longest, if any has been for long enough.
+// Otherwise the list grows by one.
+auto consensus::voters_after_join(const voter& joining) const -> std::vector<voter> {
+  auto new_voters = voters();
+  auto same_address = [&](const voter& member) {
+    return member.address == joining.address;
   };
   if (is_voter_address(joining.address))
-    next.erase(std::remove_if(next.begin(), next.end(), same_address), next.end());
-  else if (auto silent = silent_voters(settings_.failure_timeout * replacement_timeouts); !silent.empty())
-    next.erase(std::remove(next.begin(), next.end(), silent.front()), next.end());
-  next.push_back(joining);
-  return next;
+    new_voters.erase(std::remove_if(new_voters.begin(), new_voters.end(), same_address), new_voters.end());
+  else if (auto unresponsive = unresponsive_voters(settings_.failure_timeout * replacement_timeouts);
+           !unresponsive.empty())
+    new_voters.erase(std::remove(new_voters.begin(), new_voters.end(), unresponsive.front()), new_voters.end());
+  new_voters.push_back(joining);
+  return new_voters;
 }
 
+// Handles a join request. Returns after the joining disk has become a voter.
 auto consensus::on_join(join_request request) -> task<value> {
   if (!is_leader())
     co_return co_await forward_join(std::move(request));
-  check_may_join(request);
+  check_join_allowed(request);
   if (!is_voter(request.joining))
     co_await admit_voter(request.joining);
   co_return encode(acknowledgement{});
 }
 
-// The leader's answer goes back as it came.
+// Forwards a join request to the leader and returns the leader's reply unchanged.
 auto consensus::forward_join(join_request request) -> task<value> {
   if (leader_address_.empty())
-    throw retry_after_heartbeat(errc::no_leader, "no leader yet", execution_outcome::not_executed);
+    throw retryable_error(errc::no_leader, "no leader yet", execution_outcome::not_executed);
   auto message = encode(request);
   co_return co_await call_leader(std::move(message), host_.now() + settings_.failure_timeout * join_timeouts);
 }
 
-auto consensus::check_may_join(const join_request& request) const -> void {
+// Throws if the disk belongs to a different log or the leader cannot change the membership now.
+auto consensus::check_join_allowed(const join_request& request) const -> void {
   const auto& joining = request.joining;
-  if (joining.address == self_.address && joining != self_)
+  if (joining.address == local_voter_.address && joining != local_voter_)
     throw request_error(errc::malformed, "join: addr is the leader's own");
   const auto& own_log_id = log_.log_id();
   if (!request.log_id.empty() && !own_log_id.empty() && request.log_id != own_log_id) {
@@ -208,28 +219,29 @@
                         "the disk holds another fleet's ledger: empty the folder, or name its own fleet's seeds",
                         execution_outcome::not_executed);
   }
-  // Before an entry of its own term is committed, voters of an earlier change may not be known here.
+  // Until the leader has committed an entry of its own term, it may not know the result of an earlier membership
+  // change.
   if (!leadership_established())
-    throw retry_after_heartbeat(errc::busy, "the leader is not settled yet", execution_outcome::not_executed);
+    throw retryable_error(errc::busy, "the leader is not settled yet", execution_outcome::not_executed);
   check_no_change_pending();
 }
 
-// One whose disk was lost, or that is new: first it learns, then it becomes a voter. While it learns it has no part in
-// any majority, and nobody is removed for it.
+// Admits a new voter, or a voter whose disk was replaced. The joining disk is first a learner that counts in no
+// majority, and no voter is removed for it. It becomes a voter after it has caught up.
 auto consensus::admit_voter(voter joining) -> task<void> {
-  start_learner(joining);
-  auto ready = co_await caught_up(joining, host_.now() + settings_.failure_timeout);
+  add_learner(joining);
+  auto ready = co_await wait_until_caught_up(joining, host_.now() + settings_.failure_timeout);
   if (!ready)
-    throw retry_after_heartbeat(errc::catching_up, "the newcomer does not have all entries yet",
-                                execution_outcome::not_executed);
-  co_await change_voters(voters_with(joining), host_.now() + settings_.failure_timeout);
+    throw retryable_error(errc::catching_up, "the newcomer does not have all entries yet",
+                          execution_outcome::not_executed);
+  co_await change_voters(voters_after_join(joining), host_.now() + settings_.failure_timeout);
   learners_.erase(joining);
   reachridge::log(log_level::info, settings_.name, joining.address + " is a voter now");
 }
 
 auto consensus::on_describe(const describe_request& request) const -> describe_reply {
   auto empty = log_.term == 0 && log_.last() == 0;
-  return {self_.disk_id, log_.initialized, empty, leader_address_, log_.members().contains(request.requester)};
+  return {local_voter_.disk_id, log_.initialized, empty, leader_address_, log_.members().contains(request.requester)};
 }
 
 }  // namespace reachridge
--- a/src/raft/membership.hpp
+++ b/src/raft/membership.hpp
@@ -1,5 +1,5 @@
-// Who votes: the voters, and while they change by more than one the voters before the change as well (Raft, section 6;
-// design 4.5).
+// The voters of the replicated log and their majorities. During a membership change by more than one voter, the voters
+// before the change count as well (Raft, section 6: joint consensus; design 4.5).
 #pragma once
 #include <algorithm>
 #include <string>
@@ -8,10 +8,11 @@
 
 namespace reachridge {
 
-// Drawn at random when a blank disk is first used. It tells disks at one address apart.
+// Identifies a disk. A random identifier is assigned when a blank disk is first used, so that two disks used at the
+// same address can be distinguished.
 using disk_identifier = std::string;
 
-// A voter is an address and the disk that is there: another disk at the address is another voter.
+// A voter is identified by its address and its disk: a different disk at the same address is a different voter.
 struct voter {
   std::string address;
   disk_identifier disk_id;
@@ -21,11 +22,13 @@
   }
 };
 
-// The voters of the log and the majorities they make.
+// The voters of the log, with the computation of majorities.
 class membership {
  public:
   std::vector<voter> voters;
-  std::vector<voter> outgoing;  // not empty while a joint change is under way: majorities of both lists are needed
+  // The voters before a joint membership change; empty unless such a change is in progress. While this list is not
+  // empty, decisions need a majority of both lists.
+  std::vector<voter> outgoing;
 
   [[nodiscard]] auto empty() const -> bool {
     return voters.empty();
@@ -34,47 +37,48 @@
     return !outgoing.empty();
   }
   [[nodiscard]] auto contains(const voter& candidate) const -> bool {
-    return listed(voters, candidate) || listed(outgoing, candidate);
+    return is_listed(voters, candidate) || is_listed(outgoing, candidate);
   }
-  // Each voter of either list, once.
+  // Returns the union of both lists, without duplicates.
   [[nodiscard]] auto all() const -> std::vector<voter> {
     auto out = voters;
-    for (const auto& one : outgoing)
-      if (!listed(voters, one))
-        out.push_back(one);
+    for (const auto& member : outgoing)
+      if (!is_listed(voters, member))
+        out.push_back(member);
     return out;
   }
-  // The highest value that a majority has reached, of both lists while they are joint; `none` without voters.
+  // Returns the highest value that at least a majority of the voters has reached, where `value_of` gives the value of a
+  // voter. In a joint membership a majority of both lists must have reached the value. Returns `none` without voters.
   template <class Value, class ValueOf>
   [[nodiscard]] auto majority_value(ValueOf value_of, Value none) const -> Value {
-    auto out = reached(voters, value_of, none);
-    return joint() ? std::min(out, reached(outgoing, value_of, none)) : out;
+    auto out = majority_value_of(voters, value_of, none);
+    return joint() ? std::min(out, majority_value_of(outgoing, value_of, none)) : out;
   }
-  // Whether `agrees` is true of a majority, of both lists while they are joint.
+  // Returns whether `agrees` holds for a majority of the voters; in a joint membership, for a majority of both lists.
   template <class Agrees>
   [[nodiscard]] auto majority(Agrees agrees) const -> bool {
     return majority_value(
-               [&](const voter& one) {
-                 return agrees(one) ? 1 : 0;
+               [&](const voter& member) {
+                 return agrees(member) ? 1 : 0;
                },
                0) == 1;
   }
   auto operator==(const membership&) const -> bool = default;
 
  private:
-  static auto listed(const std::vector<voter>& row, const voter& candidate) -> bool {
-    return std::find(row.begin(), row.end(), candidate) != row.end();
+  static auto is_listed(const std::vector<voter>& list, const voter& candidate) -> bool {
+    return std::find(list.begin(), list.end(), candidate) != list.end();
   }
-  // Sorted from the highest value down, the one in the middle is the highest that a majority has reached.
+  // Sorts the values in descending order. The value in the middle is the highest that a majority has reached.
   template <class Value, class ValueOf>
-  static auto reached(const std::vector<voter>& row, ValueOf value_of, Value none) -> Value {
-    if (row.empty())
+  static auto majority_value_of(const std::vector<voter>& list, ValueOf value_of, Value none) -> Value {
+    if (list.empty())
       return none;
-    auto all = std::vector<Value>();
-    for (const auto& one : row)
-      all.push_back(value_of(one));
-    std::sort(all.rbegin(), all.rend());
-    return all[row.size() / 2];
+    auto values = std::vector<Value>();
+    for (const auto& member : list)
+      values.push_back(value_of(member));
+    std::sort(values.rbegin(), values.rend());
+    return values[list.size() / 2];
   }
 };
 
--- a/src/raft/replication.cpp
+++ b/src/raft/replication.cpp
@@ -1,5 +1,5 @@
-// Replication: entries and heartbeats from the leader to its followers, and what is committed (Raft, section 5.3;
-// design 4.2).
+// Replication: sending entries and heartbeats from the leader to its followers, handling them on the followers, and
+// advancing the commit index (Raft, section 5.3; design 4.2).
 #include <algorithm>
 #include <utility>
 
@@ -8,10 +8,10 @@
 
 namespace reachridge {
 
-// Waits for the own disk; then the own copy counts too. What is not synced here may not be counted as one of the
-// majority: a loss of power would take it back.
+// Syncs the leader's own disk. The leader counts its own copy towards the majority only after the sync, because a power
+// loss would undo unsynced entries.
 auto consensus::sync_own_log() -> task<void> {
-  auto upto = log_.last();
+  auto synced_index = log_.last();
   auto term = log_.term;
   try {
     co_await log_.sync();
@@ -22,42 +22,46 @@
     co_return;
   }
   if (log_.term == term)
-    log_.durable_index = std::max(log_.durable_index, std::min(upto, log_.last()));
+    log_.durable_index = std::max(log_.durable_index, std::min(synced_index, log_.last()));
   if (is_leader())
     advance_commit();
 }
 
 auto consensus::progress_of(const voter& follower) const -> const follower_progress* {
-  auto row = progress_.find(follower);
-  return row == progress_.end() ? nullptr : &row->second;
+  auto found = progress_.find(follower);
+  return found == progress_.end() ? nullptr : &found->second;
 }
 
-// Only an entry of the leader's own term is committed by counting; those before it follow (Raft, section 5.4.2).
+// Advances the commit index to the highest index that is durable on a majority. Only an entry of the leader's own term
+// is committed by counting copies; this also commits all entries before it (Raft, section 5.4.2).
 auto consensus::advance_commit() -> void {
-  auto durable_at = [&](const voter& one) {
-    const auto* progress = progress_of(one);
-    return one == self_ ? log_.durable_index : progress ? progress->match_index : log_index();
+  auto durable_index_of = [&](const voter& member) {
+    const auto* progress = progress_of(member);
+    return member == local_voter_ ? log_.durable_index : progress ? progress->match_index : log_index();
   };
-  auto durable_at_majority = log_.members().majority_value(durable_at, log_index());
-  if (durable_at_majority <= commit_index_ || log_.term_at(durable_at_majority) != log_.term)
+  auto majority_durable_index = log_.members().majority_value(durable_index_of, log_index());
+  if (majority_durable_index <= commit_index_ || log_.term_at(majority_durable_index) != log_.term)
     return;
-  commit_index_ = durable_at_majority;
+  commit_index_ = majority_durable_index;
   finish_joint_change();
   commit_advanced_.wake();
-  log_grown_.wake();
+  replication_needed_.wake();
 }
 
-auto consensus::majority_contact() const -> monotonic_time {
-  auto last_contact_at = [&](const voter& one) {
-    const auto* progress = progress_of(one);
-    return one == self_ ? host_.now() : progress ? progress->last_contact : -never;
+// Returns the latest time at which a majority, including this leader, is known to have followed it.
+auto consensus::last_majority_contact() const -> monotonic_time {
+  auto last_contact_of = [&](const voter& member) {
+    const auto* progress = progress_of(member);
+    return member == local_voter_ ? host_.now() : progress ? progress->last_contact : -never;
   };
-  return log_.members().majority_value(last_contact_at, -never);
+  return log_.members().majority_value(last_contact_of, -never);
 }
+
 auto consensus::last_quorum_contact() const -> monotonic_time {
-  return transferring_ ? -never : majority_contact();
+  return transferring_ ? -never : last_majority_contact();
 }
 
+// Returns whether this replica is still the leader of `leader_term` and still replicates to `follower`.
 auto consensus::leads_follower(const voter& follower, term_number leader_term) const -> bool {
   if (!is_leader() || log_.term != leader_term)
     return false;
@@ -65,81 +69,83 @@
 }
 
 auto consensus::start_replication(const voter& follower) -> void {
-  if (follower == self_ || progress_.contains(follower))
+  if (follower == local_voter_ || progress_.contains(follower))
     return;
   auto& progress = progress_[follower];
   progress.window = state_machine_.limits.initial_window_bytes;
   progress.next_index = log_.last();
   progress.added_at = host_.now();
-  // A voter has just voted, or is given the time to answer; one that only learns is in no majority.
+  // A voter has just voted, or it needs time to reply before this leader treats it as unresponsive. A learner counts in
+  // no majority.
   if (log_.members().contains(follower))
     progress.last_contact = host_.now();
   tasks_.spawn(replicate(follower, log_.term));
 }
 
-// One task for each follower while leading: entries, heartbeats, snapshots.
+// The replication task of one follower: sends entries, heartbeats and snapshots while this replica is the leader.
 auto consensus::replicate(voter follower, term_number leader_term) -> task<void> {
   while (leads_follower(follower, leader_term)) {
-    auto answered = co_await send_next(follower, leader_term);
+    auto replied = co_await send_next(follower, leader_term);
     if (!leads_follower(follower, leader_term))
       break;
     const auto& progress = progress_.at(follower);
     auto up_to_date = progress.next_index > log_.last() && progress.announced_commit_index >= commit_index_;
-    if (!answered)
+    if (!replied)
       co_await sleep_for(host_, settings_.heartbeat_interval);
     else if (up_to_date)
-      co_await log_grown_.wait(host_, host_.now() + settings_.heartbeat_interval);
+      co_await replication_needed_.wait(host_, host_.now() + settings_.heartbeat_interval);
   }
   if (is_leader() && log_.term == leader_term)
     progress_.erase(follower);
 }
 
-// Sends what the follower needs next; false: it did not answer, or another disk did.
+// Sends the next entries, heartbeat or snapshot chunk. Returns false if the follower did not reply, a different disk
+// replied, or this replica no longer leads the follower.
 auto consensus::send_next(voter follower, term_number leader_term) -> task<bool> {
   auto& progress = progress_.at(follower);
   progress.next_index = std::max(progress.next_index, log_index(1));
-  auto by_snapshot = progress.next_index <= log_.first() && !progress.different_disk_answered;
-  auto answered = false;
+  auto needs_snapshot = progress.next_index <= log_.first() && !progress.different_disk_answered;
+  auto replied = false;
   try {
-    if (by_snapshot)
-      answered = co_await send_snapshot_chunk(follower, leader_term);
+    if (needs_snapshot)
+      replied = co_await send_snapshot_chunk(follower, leader_term);
     else
-      answered = co_await send_entries(follower, leader_term);
+      replied = co_await send_entries(follower, leader_term);
   } catch (const request_error&) {
     if (leads_follower(follower, leader_term))
       adapt_window(follower, settings_.failure_timeout);
   }
-  co_return answered;
+  co_return replied;
 }
 
-auto consensus::adapt_window(const voter& follower, monotonic_time took) -> void {
-  progress_.at(follower).adapt_window(took, election_timeout_, state_machine_.limits.min_window_bytes);
+auto consensus::adapt_window(const voter& follower, monotonic_time duration) -> void {
+  progress_.at(follower).adapt_window(duration, election_timeout_, state_machine_.limits.min_window_bytes);
 }
 
-// Sends what may take long, with heartbeats beside it.
-auto consensus::exchange(voter follower, term_number leader_term, value request) -> task<value> {
+// Sends a request that may take long and returns its reply. Heartbeats are sent while the request is in flight.
+auto consensus::call_with_heartbeats(voter follower, term_number leader_term, value request) -> task<value> {
   auto sent_at = host_.now();
   auto& progress = progress_.at(follower);
   progress.in_flight = true;
   if (!std::exchange(progress.heartbeats_running, true))
-    tasks_.spawn(heartbeat_while_sending(follower, leader_term));
-  auto end_flight = [&] {
-    if (auto row = progress_.find(follower); row != progress_.end())
-      row->second.in_flight = false;
+    tasks_.spawn(send_heartbeats_during_call(follower, leader_term));
+  auto clear_in_flight = [&] {
+    if (auto found = progress_.find(follower); found != progress_.end())
+      found->second.in_flight = false;
   };
   try {
     auto answer = co_await peer(follower.address).call(std::move(request), sent_at + settings_.failure_timeout);
-    end_flight();
+    clear_in_flight();
     if (leads_follower(follower, leader_term))
       adapt_window(follower, host_.now() - sent_at);
     co_return answer;
   } catch (...) {
-    end_flight();
+    clear_in_flight();
     throw;
   }
 }
 
-auto consensus::heartbeat_while_sending(voter follower, term_number leader_term) -> task<void> {
+auto consensus::send_heartbeats_during_call(voter follower, term_number leader_term) -> task<void> {
   while (true) {
     co_await sleep_for(host_, settings_.heartbeat_interval);
     if (!leads_follower(follower, leader_term))
@@ -154,12 +160,18 @@
   }
 }
 
-// A heartbeat at the follower's match index, which it has whatever is under way. False: this one no longer leads it.
+// Sends a heartbeat at the follower's match index; the follower has that entry regardless of the request in flight.
+// Returns false if this replica no longer leads the follower.
 auto consensus::send_extra_heartbeat(voter follower, term_number leader_term) -> task<bool> {
   auto sent_at = host_.now();
   auto match = progress_.at(follower).match_index;
-  auto request = encode(append_request{
-      leader_term, self_.address, follower.disk_id, match, log_.term_at(match), std::min(commit_index_, match), {}});
+  auto request = encode(append_request{leader_term,
+                                       local_voter_.address,
+                                       follower.disk_id,
+                                       match,
+                                       log_.term_at(match),
+                                       std::min(commit_index_, match),
+                                       {}});
   try {
     auto answer = co_await peer(follower.address).call(std::move(request), sent_at + election_timeout_);
     auto reply = decode_append_reply(answer);
@@ -178,17 +190,18 @@
   co_return true;
 }
 
-// Entries from the next index on, as many as the window takes and one at least; none: a heartbeat.
+// Returns a request with the entries from the follower's next index on, limited by the window but with at least one
+// entry. Without entries to send the request is a heartbeat.
 auto consensus::next_entries(const voter& follower, term_number leader_term) const -> append_request {
   const auto& progress = progress_.at(follower);
   auto previous = progress.next_index - 1;
-  auto request =
-      append_request{leader_term, self_.address, follower.disk_id, previous, log_.term_at(previous), commit_index_, {}};
+  auto request = append_request{
+      leader_term, local_voter_.address, follower.disk_id, previous, log_.term_at(previous), commit_index_, {}};
   if (progress.different_disk_answered)
     return request;
   auto bytes = std::size_t{0};
-  for (auto at = progress.next_index; at <= log_.last() && at > log_.first(); ++at) {
-    const auto& entry = log_.entry_at(at);
+  for (auto index = progress.next_index; index <= log_.last() && index > log_.first(); ++index) {
+    const auto& entry = log_.entry_at(index);
     bytes += entry.command.size();
     if (bytes > progress.window && !request.entries.empty())
       break;
@@ -197,6 +210,7 @@
   return request;
 }
 
+// Sends the next entries or a heartbeat, and handles the reply. Returns as send_next() does.
 auto consensus::send_entries(voter follower, term_number leader_term) -> task<bool> {
   auto sent_at = host_.now();
   auto request = next_entries(follower, leader_term);
@@ -205,7 +219,7 @@
   if (request.entries.empty())
     answer = co_await peer(follower.address).call(std::move(message), sent_at + election_timeout_);
   else
-    answer = co_await exchange(follower, leader_term, std::move(message));
+    answer = co_await call_with_heartbeats(follower, leader_term, std::move(message));
   auto reply = decode_append_reply(answer);
   if (!leads_follower(follower, leader_term))
     co_return false;
@@ -222,67 +236,68 @@
   co_return true;
 }
 
-auto consensus::refuse_append() const -> append_reply {
-  return {log_.term, false, self_.disk_id, 0, 0};
+auto consensus::reject_append() const -> append_reply {
+  return {log_.term, false, local_voter_.disk_id, 0, 0};
 }
 
-// The entry before the new ones is missing here, or of another term. The hint goes back over a whole term at once
-// (Raft, end of section 5.3), but never behind what is committed.
-auto consensus::refuse_gap(const append_request& request) const -> append_reply {
+// Rejects a request whose previous entry is missing here or has a different term. The hint skips all entries of the
+// conflicting term at once (Raft, end of section 5.3), but it is always above the commit index.
+auto consensus::reject_log_mismatch(const append_request& request) const -> append_reply {
   auto hint = std::min(request.previous_index - 1, log_.last());
   auto conflicting_term = log_.term_at(hint);
-  auto least = std::max(log_.first(), commit_index_);
-  while (request.previous_index <= log_.last() && hint > least && log_.term_at(hint) == conflicting_term)
+  auto min_hint = std::max(log_.first(), commit_index_);
+  while (request.previous_index <= log_.last() && hint > min_hint && log_.term_at(hint) == conflicting_term)
     --hint;
-  return {log_.term, false, self_.disk_id, 0, std::max(hint, commit_index_) + 1};
+  return {log_.term, false, local_voter_.disk_id, 0, std::max(hint, commit_index_) + 1};
 }
 
-// Appends the entries that are not here yet; gives the index of the last one that was sent. An entry of another term
-// in its place is removed with all behind it, unless it is committed: then one of the two logs is broken.
-auto consensus::append_missing(const append_request& request) -> log_index {
-  auto at = request.previous_index;
+// Appends the entries that the local log lacks and returns the index of the last entry in the request. A local entry
+// with a different term is removed together with all later entries. If that entry is committed, one of the two logs is
+// damaged, and the request fails with `errc::conflict`.
+auto consensus::append_missing_entries(const append_request& request) -> log_index {
+  auto index = request.previous_index;
   for (const auto& entry : request.entries) {
-    ++at;
-    if (at <= log_.first() || log_.term_at(at) == entry.term)
+    ++index;
+    if (index <= log_.first() || log_.term_at(index) == entry.term)
       continue;
-    if (at <= commit_index_)
+    if (index <= commit_index_)
       throw request_error(errc::conflict, "append_entries: an entry differs from a committed one");
-    if (at <= log_.last())
-      log_.truncate_from(at);
+    if (index <= log_.last())
+      log_.truncate_from(index);
     log_.append(entry.term, entry.command);
   }
-  return at;
+  return index;
 }
 
 auto consensus::on_append(append_request request) -> task<append_reply> {
-  // Meant for the disk that was at this address before: what is on this one may be of another replicated log.
-  auto other_disk_meant = !request.target_disk.empty() && request.target_disk != self_.disk_id;
-  if (other_disk_meant)
-    co_return refuse_append();
+  // The leader addressed the disk that was at this address before. The local disk may belong to a different log.
+  auto targets_other_disk = !request.target_disk.empty() && request.target_disk != local_voter_.disk_id;
+  if (targets_other_disk)
+    co_return reject_append();
   if (request.term < log_.term)
-    co_return refuse_append();
+    co_return reject_append();
   accept_leader(request.term, request.leader, "append_entries");
-  auto previous_missing = request.previous_index > log_.last();
-  auto previous_known = request.previous_index >= log_.first();
-  if (previous_missing || (previous_known && log_.term_at(request.previous_index) != request.previous_term))
-    co_return refuse_gap(request);
-  auto last_sent = append_missing(request);
+  auto previous_is_missing = request.previous_index > log_.last();
+  auto previous_is_known = request.previous_index >= log_.first();
+  if (previous_is_missing || (previous_is_known && log_.term_at(request.previous_index) != request.previous_term))
+    co_return reject_log_mismatch(request);
+  auto last_request_index = append_missing_entries(request);
   if (!log_.initialized && !log_.members().empty()) {
     log_.initialized = true;
     log_.save_metadata();
   }
-  if (auto committed = std::min(request.commit_index, last_sent); committed > commit_index_) {
+  if (auto committed = std::min(request.commit_index, last_request_index); committed > commit_index_) {
     commit_index_ = committed;
     commit_advanced_.wake();
   }
-  // Synced before it is acknowledged: the leader counts this copy. A heartbeat promises nothing that is not durable
-  // yet, and need not wait for the disk.
-  if (!request.entries.empty() || last_sent > log_.durable_index || log_.failed())
+  // The log is synced before the reply because the leader counts this copy towards the majority. A heartbeat
+  // acknowledges only entries that are already durable, so it does not wait for the disk.
+  if (!request.entries.empty() || last_request_index > log_.durable_index || log_.failed())
     co_await log_.sync();
-  if (log_.term != request.term || last_sent > log_.last())
-    co_return refuse_append();
-  log_.durable_index = std::max(log_.durable_index, last_sent);
-  co_return append_reply{log_.term, true, self_.disk_id, last_sent, 0};
+  if (log_.term != request.term || last_request_index > log_.last())
+    co_return reject_append();
+  log_.durable_index = std::max(log_.durable_index, last_request_index);
+  co_return append_reply{log_.term, true, local_voter_.disk_id, last_request_index, 0};
 }
 
 }  // namespace reachridge
--- a/src/raft/status.cpp
+++ b/src/raft/status.cpp
@@ -1,4 +1,4 @@
-// What an operator sees of the log on /status.
+// The status of the replicated log for the /status page.
 #include "raft/consensus.hpp"
 
 namespace reachridge {
@@ -11,28 +11,28 @@
   return may_vote() ? "follower" : "learner";
 }
 
-// The leader knows how each voter is; the others only name them.
-auto consensus::status_of(const voter& one, const char* standing) const -> voter_status {
+// Only the leader knows the replication state of each voter; other replicas report the voters alone.
+auto consensus::status_of(const voter& member, const char* membership_state) const -> voter_status {
   auto match_index = log_.durable_index;
   auto silent_ms = std::int64_t{0};
-  if (one != self_) {
-    const auto* progress = progress_of(one);
+  if (member != local_voter_) {
+    const auto* progress = progress_of(member);
     match_index = progress ? progress->match_index : log_index();
     silent_ms = progress ? (host_.now() - progress->last_contact) / millisecond : -1;
   }
-  return {one, voter_contact{standing, log_.last() - match_index, silent_ms}};
+  return {member, voter_contact{membership_state, log_.last() - match_index, silent_ms}};
 }
 
 auto consensus::voter_statuses() const -> std::vector<voter_status> {
-  auto rows = std::vector<voter_status>();
-  for (const auto& one : log_.members().all())
-    rows.push_back(is_leader() ? status_of(one, "voter") : voter_status{one, {}});
+  auto statuses = std::vector<voter_status>();
+  for (const auto& member : log_.members().all())
+    statuses.push_back(is_leader() ? status_of(member, "voter") : voter_status{member, {}});
   if (!is_leader())
-    return rows;
+    return statuses;
   for (const auto& learner : learners_)
     if (!log_.members().contains(learner))
-      rows.push_back(status_of(learner, "enters"));
-  return rows;
+      statuses.push_back(status_of(learner, "enters"));
+  return statuses;
 }
 
 auto consensus::status() const -> value {
@@ -47,7 +47,7 @@
   report.log_bytes = log_.bytes();
   report.voters = voter_statuses();
   report.membership_changing = is_leader() && (change_pending() || !learners_.empty());
-  report.disk_id = self_.disk_id;
+  report.disk_id = local_voter_.disk_id;
   return encode(report);
 }
 
--- a/src/raft/term_and_index.hpp
+++ b/src/raft/term_and_index.hpp
@@ -1,17 +1,17 @@
-// Terms and log indexes: numbers of types of their own, so that the compiler refuses one in the place of the other.
+// Strong integer types for Raft terms and log indexes. The compiler rejects an index where a term is expected.
 #pragma once
 #include <cstdint>
 #include <string>
 
 namespace reachridge {
 
-// An integer that mixes with literals and plain counts, but not with a strong integer of another tag. It becomes a
-// plain integer again only where that is written out, with get().
+// A 64-bit integer that is distinct for each Tag. Integer literals and counts convert to strong_integer implicitly, but
+// two strong_integer types with different tags do not mix. Converting back to an integer requires get() or a cast.
 template <class Tag>
 class strong_integer {
  public:
   constexpr strong_integer() = default;
-  constexpr strong_integer(std::int64_t number) : number_(number) {}  // implicit: `index > 0`, `term + 1`
+  constexpr strong_integer(std::int64_t number) : number_(number) {}  // implicit, for `index > 0` and `term + 1`
 
   [[nodiscard]] constexpr auto get() const -> std::int64_t {
     return number_;
@@ -34,7 +34,7 @@
   friend constexpr auto operator-(strong_integer number, std::int64_t count) -> strong_integer {
     return number.number_ - count;
   }
-  // The distance between two numbers is a plain count.
+  // Returns the distance between two numbers as a plain integer.
   friend constexpr auto operator-(strong_integer left, strong_integer right) -> std::int64_t {
     return left.number_ - right.number_;
   }
@@ -61,12 +61,14 @@
   return std::to_string(number.get());
 }
 
-// A term of leadership (Raft, section 5.1): it grows with each election and has one leader at most.
+// A Raft term (Raft, section 5.1). Each election starts a higher term, and a term has at most one leader.
 using term_number = strong_integer<struct term_tag>;
-// The position of an entry in the log. The first entry is 1; 0 stands before it.
+// The position of an entry in the log. The first entry has index 1; index 0 denotes the position before the first
+// entry.
 using log_index = strong_integer<struct index_tag>;
 
-// The term of an entry that is not known: it is behind a snapshot, or beyond the end of the log.
+// Returned as the term of an entry that is not in the log: a snapshot has replaced the entry, or the entry is beyond
+// the end of the log.
 constexpr auto unknown_term = term_number(-1);
 
 }  // namespace reachridge
--- a/src/raft/vote_tally.hpp
+++ b/src/raft/vote_tally.hpp
@@ -1,4 +1,4 @@
-// The votes of one round of an election, shared by the candidate and its requests that are under way.
+// Counts the votes of one election round. The campaign and its outstanding vote requests share the tally.
 #pragma once
 #include <cstddef>
 #include <set>
@@ -8,32 +8,36 @@
 
 namespace reachridge {
 
+// Records the replies to the vote requests of one election round.
 class vote_tally {
  public:
-  signal changed;  // woken with each answer
+  signal changed;  // signaled after each reply or failed request
 
-  auto expect_answer() -> void {
+  // Counts one more request that awaits its reply.
+  auto add_request() -> void {
     ++outstanding_;
   }
-  auto grant(const voter& from) -> void {
+  auto add_vote(const voter& from) -> void {
     granted_.insert(from);
   }
-  auto answered() -> void {
+  // Counts one request as finished, whether it was answered or failed.
+  auto finish_request() -> void {
     --outstanding_;
     changed.wake();
   }
-  [[nodiscard]] auto all_answered() const -> bool {
+  [[nodiscard]] auto all_replied() const -> bool {
     return outstanding_ == 0;
   }
-  [[nodiscard]] auto won(const membership& members) const -> bool {
-    return members.majority([&](const voter& one) {
-      return granted_.contains(one);
+  // Returns whether a majority of `members` has granted its vote; a joint membership requires both majorities.
+  [[nodiscard]] auto has_majority(const membership& members) const -> bool {
+    return members.majority([&](const voter& member) {
+      return granted_.contains(member);
     });
   }
 
  private:
   std::set<voter> granted_;
-  std::size_t outstanding_ = 0;  // voters that have not answered
+  std::size_t outstanding_ = 0;  // requests that are not finished yet
 };
 
 }  // namespace reachridge
