--- a/src/raft/replacement_test.cpp
+++ b/src/raft/replacement_test.cpp
@@ -1,25 +1,28 @@
-// Replacing voters: at each moment of a replacement another loss does no harm (design 4.5).
+// Tests of the replacement of voters: a second failure at any time during a replacement does no harm (design 4.5).
 #include "raft/test_fleet.hpp"
 
-// After all others: it redefines new.
+// Included last because it redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 using namespace reachridge;
 using namespace reachridge::raft_tests;
 
 namespace {
+// Kills the control node and erases its disk.
 auto wipe(fleet& cluster, const std::string& name) -> void {
   cluster.kill(name);
   cluster.lose_disk(name);
 }
-auto join_as(const std::string& address, const std::string& disk) -> value {
+// Returns a join request for a disk at an address.
+auto join_request_for(const std::string& address, const std::string& disk) -> value {
   return object{{"op", "l.enter"}, {"addr", address}, {"id", disk}};
 }
-// What is lost while a voter is being replaced.
+// The second failure during the replacement of a voter: a restart of the leader, a restart of the other voter, the loss
+// of the newcomer's disk, or a power loss of all nodes.
 enum class second_loss { leader, other, newcomer, all };
 
-auto to_string(second_loss what) -> std::string {
-  switch (what) {
+auto to_string(second_loss loss) -> std::string {
+  switch (loss) {
     case second_loss::leader:
       return "leader";
     case second_loss::other:
@@ -36,12 +39,13 @@
   run_for(cluster, 2 * second);
   cluster.start(name);
 }
-auto lose_again(fleet& cluster, second_loss what, const std::string& leader, const std::string& newcomer) -> void {
+auto apply_second_loss(fleet& cluster, second_loss loss, const std::string& leader, const std::string& newcomer)
+    -> void {
   auto other = std::string();
   for (const auto& name : cluster.names("queen"))
     if (name != leader && name != newcomer)
       other = name;
-  switch (what) {
+  switch (loss) {
     case second_loss::leader:
       return restart(cluster, leader);
     case second_loss::other:
@@ -56,10 +60,11 @@
       cluster.power("all", true);
   }
 }
-// A voter's disk is lost and replaced, and `moment` after its return something else is lost.
-auto check_second_loss(monotonic_time moment, second_loss what) -> void {
+// Replaces the disk of a voter and applies a second failure at `moment` after the voter's restart. Checks that the
+// newcomer becomes a voter in time and that every control node has the command that was confirmed before.
+auto check_second_loss(monotonic_time moment, second_loss loss) -> void {
   constexpr auto limit = 4 * second;
-  auto description = to_string(what) + " lost after " + std::to_string(moment / millisecond) + " ms";
+  auto description = to_string(loss) + " lost after " + std::to_string(moment / millisecond) + " ms";
   auto cluster = fleet(44 + static_cast<std::uint64_t>(moment / millisecond), control_nodes_only(3));
   start_all(cluster);
   auto lead = cluster.leader();
@@ -71,7 +76,7 @@
   run_for(cluster, 500 * millisecond);
   cluster.start(lost);
   run_for(cluster, moment);
-  lose_again(cluster, what, lead, lost);
+  apply_second_loss(cluster, loss, lead, lost);
   auto took = run_until(cluster, 2 * limit, [&] {
     return is_voter(cluster, lost);
   });
@@ -88,28 +93,29 @@
 }  // namespace
 
 TEST_GROUP(raft_replacement){};
-// What one disk holds counts for no other at its address: neither beside a learner nor beside a voter.
-TEST(raft_replacement, a_second_disk_at_an_address_must_catch_up_by_itself) {
+// Entries on one disk do not count for another disk at the same address, whether the first disk is a learner's or a
+// voter's.
+TEST(raft_replacement, a_different_disk_at_an_address_must_catch_up_first) {
   auto cluster = fleet(41, control_nodes_only(3));
   start_all(cluster);
   auto lead = cluster.leader();
   auto other = other_control_node(cluster, lead);
-  auto was = raft_of(cluster, lead).voters();
-  auto answer = send_request(cluster, lead, join_as(address_of(cluster, other), "another-disk"));
+  auto voters_before = raft_of(cluster, lead).voters();
+  auto answer = send_request(cluster, lead, join_request_for(address_of(cluster, other), "another-disk"));
   run_for(cluster, 2 * second);
   STRCMP_EQUAL("catching_up", answer->c_str());
-  CHECK(was == raft_of(cluster, lead).voters());
+  CHECK(voters_before == raft_of(cluster, lead).voters());
   CHECK(raft_of(cluster, lead).is_leader());
-  // Nor may anyone take the leader's own place.
-  answer = send_request(cluster, lead, join_as(address_of(cluster, lead), "another-disk"));
+  // A different disk cannot join at the leader's address.
+  answer = send_request(cluster, lead, join_request_for(address_of(cluster, lead), "another-disk"));
   run_for(cluster, 100 * millisecond);
   STRCMP_EQUAL("malformed", answer->c_str());
-  // It is forgotten once it has been silent for long.
+  // The leader drops the learner after it has been unresponsive for long enough.
   run_for(cluster, 6 * second);
   CHECK_FALSE(get_bool(raft_of(cluster, lead).status(), "changing"));
 }
-// A lost disk stays a voter until the one that replaces it has all: never fewer voters than before.
-TEST(raft_replacement, nobody_leaves_before_the_newcomer_is_in) {
+// A lost disk stays a voter until its replacement has caught up, so there are never fewer voters than before.
+TEST(raft_replacement, no_voter_is_removed_before_its_replacement_joins) {
   for (auto same_address : {true, false}) {
     auto cluster = fleet(42, control_nodes_only(3));
     start_all(cluster);
@@ -124,31 +130,31 @@
       newcomer = cluster.add_control_node();
     }
     cluster.start(newcomer);
-    auto least = std::size_t{9};
-    auto most = std::size_t{0};
-    auto listed = std::size_t{0};
+    auto min_voter_count = std::size_t{9};
+    auto max_voter_count = std::size_t{0};
+    auto max_listed_count = std::size_t{0};
     for (auto i = 0; i < 3000 && !is_voter(cluster, newcomer); ++i) {
       run_for(cluster, millisecond);
-      least = std::min(least, raft_of(cluster, lead).voters().size());
-      most = std::max(most, raft_of(cluster, lead).voters().size());
-      auto now = raft_of(cluster, lead).status();
-      const auto& rows = get_array(now, "voters");
-      auto counts = std::count_if(rows.begin(), rows.end(), [](const value& row) {
-        return get_string(row, "seat") == "voter";
+      min_voter_count = std::min(min_voter_count, raft_of(cluster, lead).voters().size());
+      max_voter_count = std::max(max_voter_count, raft_of(cluster, lead).voters().size());
+      auto status = raft_of(cluster, lead).status();
+      const auto& members = get_array(status, "voters");
+      auto listed_count = std::count_if(members.begin(), members.end(), [](const value& member) {
+        return get_string(member, "seat") == "voter";
       });
-      listed = std::max(listed, static_cast<std::size_t>(counts));
+      max_listed_count = std::max(max_listed_count, static_cast<std::size_t>(listed_count));
     }
     CHECK(is_voter(cluster, newcomer));
     run_for(cluster, 200 * millisecond);
-    LONGS_EQUAL(3, least);
-    LONGS_EQUAL(3, most);
-    LONGS_EQUAL(4, listed);  // for a moment both lists count
+    LONGS_EQUAL(3, min_voter_count);
+    LONGS_EQUAL(3, max_voter_count);
+    LONGS_EQUAL(4, max_listed_count);  // the joint membership contains the voters of both lists
     LONGS_EQUAL(3, get_array(raft_of(cluster, lead).status(), "voters").size());
     CHECK_FALSE(get_bool(raft_of(cluster, lead).status(), "changing"));
   }
 }
-// A leader whose followers both have other disks than those of the voters has no majority.
-TEST(raft_replacement, answers_of_other_disks_are_no_majority) {
+// A leader has no majority if both followers run on disks other than those of the voters.
+TEST(raft_replacement, replies_of_other_disks_form_no_majority) {
   auto cluster = fleet(43, control_nodes_only(3));
   start_all(cluster);
   auto lead = cluster.leader();
@@ -160,15 +166,15 @@
   run_for(cluster, 2 * second);
   CHECK(cluster.leader().empty());
 }
-// A second loss, at each moment of a replacement: another voter, the leader, the newcomer's disk again, or the power
-// of all. What was confirmed stays, and the newcomer is a voter within four seconds of the last return.
-TEST(raft_replacement, a_second_loss_at_each_moment) {
+// Applies each kind of second failure at many points in time during a replacement. Confirmed commands are kept, and the
+// newcomer is a voter within four seconds after the failed nodes have restarted.
+TEST(raft_replacement, a_second_loss_at_any_time_does_no_harm) {
   for (auto moment = monotonic_time{0}; moment < 800 * millisecond; moment += 40 * millisecond)
-    for (auto what : {second_loss::leader, second_loss::other, second_loss::newcomer, second_loss::all})
-      check_second_loss(moment, what);
+    for (auto loss : {second_loss::leader, second_loss::other, second_loss::newcomer, second_loss::all})
+      check_second_loss(moment, loss);
 }
-// From the moment in which it asks another to run, a leader gives no lease and takes no command.
-TEST(raft_replacement, a_leaving_leader_confirms_nothing) {
+// After a leader has asked a follower to take over, it grants no lease and accepts no command.
+TEST(raft_replacement, a_leader_that_transfers_leadership_confirms_nothing) {
   auto cluster = fleet(45, control_nodes_only(3));
   start_all(cluster);
   auto lead = cluster.leader();
--- a/src/raft/test_fleet.hpp
+++ b/src/raft/test_fleet.hpp
@@ -1,4 +1,4 @@
-// Simulated fleets of control nodes alone, for the tests of the replicated log.
+// Simulated clusters that consist of control nodes only, and helpers for the tests of the replicated log.
 #pragma once
 #include <algorithm>
 #include <set>
@@ -9,38 +9,41 @@
 
 namespace reachridge::raft_tests {
 
-// Control nodes alone, with the seeds given, none of them started yet.
+// Returns the shape of a cluster of `count` control nodes without storage nodes, gateways and clients.
 inline auto control_nodes_only(std::int64_t count) -> fleet_shape {
   auto shape = fleet_shape();
   shape.control_nodes = count;
   shape.storage_nodes = shape.gateways = shape.clients = 0;
   return shape;
 }
-// The names of the voters as the leader has them, each with a space behind it.
+// Returns the names of the leader's list of voters, each followed by a space.
 inline auto voter_names(const fleet& cluster) -> std::string {
   auto out = std::string();
   auto lead = cluster.leader();
   if (lead.empty())
     return "none leads";
-  for (const auto& one : cluster.processes.at(lead)->control->raft.voters())
+  for (const auto& member : cluster.processes.at(lead)->control->raft.voters())
     for (const auto& name : cluster.names("queen"))
-      if (cluster.processes.at(name)->settings.address == one.address)
+      if (cluster.processes.at(name)->settings.address == member.address)
         out += name + " ";
   return out;
 }
+// Sorts the names in a string of names that are separated by spaces.
 inline auto sorted(std::string names) -> std::string {
   auto in = std::istringstream(names);
-  auto all = std::set<std::string>();
-  for (auto one = std::string(); in >> one;)
-    all.insert(one);
+  auto sorted_names = std::set<std::string>();
+  for (auto name = std::string(); in >> name;)
+    sorted_names.insert(name);
   names.clear();
-  for (const auto& one : all)
-    names += one + " ";
+  for (const auto& name : sorted_names)
+    names += name + " ";
   return names;
 }
+// Runs the simulation for `span` of simulated time.
 inline auto run_for(fleet& cluster, monotonic_time span) -> void {
   cluster.network.run(cluster.network.clock + span);
 }
+// Starts all control nodes and runs long enough for them to elect a leader.
 inline auto start_all(fleet& cluster) -> void {
   for (const auto& name : cluster.names("queen"))
     cluster.start(name);
@@ -52,7 +55,7 @@
 inline auto raft_of(fleet& cluster, const std::string& name) -> consensus& {
   return cluster.processes.at(name)->control->raft;
 }
-// A control node that does not lead.
+// Returns a running control node other than `name`; an empty string if there is none.
 inline auto other_control_node(const fleet& cluster, const std::string& name) -> std::string {
   for (const auto& other : cluster.names("queen"))
     if (other != name && cluster.processes.at(other)->up())
@@ -60,18 +63,20 @@
   return {};
 }
 
-// Whether the disk that is there now is a voter, as the leader has them.
+// Returns whether the current disk of the control node `name` is a voter according to the leader.
 inline auto is_voter(fleet& cluster, const std::string& name) -> bool {
   auto lead = cluster.leader();
   if (lead.empty() || !cluster.processes.at(name)->up())
     return false;
-  const auto& all = raft_of(cluster, lead).voters();
-  return std::find(all.begin(), all.end(), voter{address_of(cluster, name), raft_of(cluster, name).disk_id()}) !=
-         all.end();
+  const auto& voters = raft_of(cluster, lead).voters();
+  return std::find(voters.begin(), voters.end(), voter{address_of(cluster, name), raft_of(cluster, name).disk_id()}) !=
+         voters.end();
 }
 
-// What a call to the log of one control node came to: its answer as text, or the code of its error.
+// The outcome of a call to the replicated log of one control node: the reply as JSON, the error code, or "no answer"
+// until the call ends.
 using call_outcome = std::shared_ptr<std::string>;
+// Starts `call` on the control node `name`. The returned outcome is updated when the call ends.
 inline auto call_raft(fleet& cluster, const std::string& name, std::function<task<value>(consensus&, host&)> call)
     -> call_outcome {
   auto out = std::make_shared<std::string>("no answer");
@@ -89,7 +94,7 @@
   }(process.control->raft, *process.host, std::move(call), out));
   return out;
 }
-// A command that makes the state larger by its name: an evacuation of a node of that name.
+// Returns a command that drains a node. It makes the state larger by the length of `name`.
 inline auto drain_command(const std::string& name) -> value {
   return object{{"k", "leave"}, {"name", name}, {"kind", "drain"}};
 }
@@ -115,12 +120,13 @@
     co_return co_await log.handle_request(std::move(operation), std::move(message));
   });
 }
-// Runs until `done` says so, and gives how long that took; `most` and more: it did not.
-inline auto run_until(fleet& cluster, monotonic_time most, const std::function<bool()>& done) -> monotonic_time {
-  auto began = cluster.network.clock;
-  while (!done() && cluster.network.clock - began < most)
+// Runs the simulation until `done` returns true, and returns the simulated duration. A result of at least `limit` means
+// that `done` did not return true in time.
+inline auto run_until(fleet& cluster, monotonic_time limit, const std::function<bool()>& done) -> monotonic_time {
+  auto started_at = cluster.network.clock;
+  while (!done() && cluster.network.clock - started_at < limit)
     run_for(cluster, 10 * millisecond);
-  return cluster.network.clock - began;
+  return cluster.network.clock - started_at;
 }
 
 }  // namespace reachridge::raft_tests
