--- a/src/raft/bootstrap.cpp
+++ b/src/raft/bootstrap.cpp
@@ -70,7 +70,7 @@
   log_.bootstrap(std::move(initial_voters));
   try {
     co_await log_.sync();
-    reachridge::log(log_level::info, settings_.name, "the replicated log is founded");
+    reachridge::log(log_level::info, settings_.name, "bootstrapped the replicated log");
   } catch (const request_error&) {
   }
 }
@@ -84,7 +84,7 @@
       co_await peer(contact_address).call(std::move(message), host_.now() + settings_.failure_timeout * join_timeouts);
       co_return;
     } catch (const request_error& error) {
-      reachridge::log(log_level::info, settings_.name, std::string("not yet a voter: ") + error.what());
+      reachridge::log(log_level::info, settings_.name, std::string("join request failed: ") + error.what());
       auto may_succeed = error.code == errc::catching_up || error.code == errc::busy;
       if (!may_succeed || log_.failed())
         co_return;
--- a/src/raft/consensus.cpp
+++ b/src/raft/consensus.cpp
@@ -35,8 +35,8 @@
       std::rethrow_exception(failure);
     } catch (const std::exception& error) {
       reachridge::log(log_level::error, settings_.name,
-                      std::string("task of the replicated log ended: ") + error.what());
-      dump_log("a task of the replicated log ended");
+                      std::string("background task of the replicated log failed: ") + error.what());
+      dump_log("background task of the replicated log failed");
     }
   };
   auto restored = log_.load(host_.random());
@@ -73,16 +73,18 @@
 
 auto consensus::call_leader(value message, monotonic_time deadline) -> task<value> {
   if (leader_address_.empty() || leader_address_ == local_voter_.address)
-    throw request_error(errc::no_leader, "no ledger leader is known here", execution_outcome::not_executed,
-                        settings_.failure_timeout / millisecond);
+    throw request_error(errc::no_leader, "no other control node is known as the leader of the replicated log",
+                        execution_outcome::not_executed, settings_.failure_timeout / millisecond);
   co_return co_await peer(leader_address_).call(std::move(message), deadline);
 }
 
 auto consensus::propose(value command, monotonic_time deadline) -> task<value> {
   if (!is_leader() || transferring_)
-    throw retryable_error(errc::no_leader, "this queen does not lead", execution_outcome::not_executed);
+    throw retryable_error(errc::no_leader,
+                          "this control node is not the leader of the replicated log or is transferring its leadership",
+                          execution_outcome::not_executed);
   if (encode_cbor(command).size() > max_command_bytes)
-    throw request_error(errc::too_large, "the command fits into no frame");
+    throw request_error(errc::too_large, "the command exceeds the size limit of the replicated log");
   auto pending = std::make_shared<proposal>();
   pending->term = log_.term;
   proposals_[log_.append(log_.term, command)] = pending;
@@ -96,15 +98,18 @@
       break;
   }
   if (!pending->result)
-    throw retryable_error(errc::unclear, "the ledger did not agree in time", execution_outcome::unknown);
+    throw retryable_error(errc::unclear,
+                          "the command is not known to be committed: the deadline passed or the leader changed",
+                          execution_outcome::unknown);
   co_return std::move(*pending->result);
 }
 
 auto consensus::read_barrier(monotonic_time deadline) -> task<void> {
   auto requested_at = host_.now();
   auto term = log_.term;
-  auto not_confirmed = request_error(errc::no_leader, "no majority confirms the newest state now",
-                                     execution_outcome::not_executed, settings_.failure_timeout / millisecond);
+  auto not_confirmed =
+      request_error(errc::no_leader, "read barrier failed: no majority confirmed that this control node is the leader",
+                    execution_outcome::not_executed, settings_.failure_timeout / millisecond);
   if (!is_leader())
     throw not_confirmed;
   auto required_index = term_start_index_;
--- a/src/raft/election.cpp
+++ b/src/raft/election.cpp
@@ -34,7 +34,8 @@
 // Clears the state that only a leader has. The next leader may still commit the pending proposals, so their callers
 // receive an error that says that the outcome is unknown.
 auto consensus::clear_leader_state() -> void {
-  reachridge::log(log_level::info, settings_.name, "leads no longer, term " + to_string(log_.term));
+  reachridge::log(log_level::info, settings_.name,
+                  "lost the leadership of the replicated log, term " + to_string(log_.term));
   for (auto& [index, pending] : proposals_) {
     pending->abandoned = true;
     pending->done.wake();
@@ -53,7 +54,7 @@
   transferring_ = false;
   progress_.clear();
   learners_.clear();
-  reachridge::log(log_level::info, settings_.name, "leads the replicated log, term " + to_string(log_.term));
+  reachridge::log(log_level::info, settings_.name, "became leader of the replicated log, term " + to_string(log_.term));
   // Entries of earlier terms become committed only together with an entry of the current term (Raft, section 5.4.2), so
   // the leader appends an entry immediately. The entry repeats the current membership. If that membership is still
   // joint, finish_joint_change() completes the change after this entry is committed.
@@ -71,7 +72,7 @@
 // this replica is itself the leader of that term.
 auto consensus::accept_leader(term_number leader_term, const std::string& leader, const char* message) -> void {
   if (leader_term == log_.term && is_leader())
-    throw request_error(errc::conflict, std::string(message) + ": another leads this term here");
+    throw request_error(errc::conflict, std::string(message) + ": this replica is the leader of the request's term");
   auto already_follows = leader_term == log_.term && role_ == replica_role::follower && leader_address_ == leader;
   if (!already_follows)
     become_follower(leader_term, leader);
@@ -84,7 +85,7 @@
 auto consensus::on_leader_process_gone(const std::string& address) -> void {
   if (role_ != replica_role::follower || leader_address_ != address)
     return;
-  reachridge::log(log_level::info, settings_.name, "the leader's process is gone: " + address);
+  reachridge::log(log_level::info, settings_.name, "the leader's process has exited: " + address);
   last_leader_contact_ = -never;
   leader_process_gone_at_ = host_.now();
   become_follower(log_.term, "");
@@ -98,7 +99,8 @@
   if (!is_leader())
     co_return;
   if (host_.now() - last_majority_contact() > election_timeout_) {
-    reachridge::log(log_level::warning, settings_.name, "a majority is out of reach");
+    reachridge::log(log_level::warning, settings_.name,
+                    "stepping down: no majority of the voters has replied within the election timeout");
     become_follower(log_.term, "");
     last_leader_contact_ = host_.now();
     co_return;
--- a/src/raft/membership.cpp
+++ b/src/raft/membership.cpp
@@ -74,7 +74,7 @@
 
 auto consensus::check_no_change_pending() const -> void {
   if (change_pending())
-    throw retryable_error(errc::busy, "another voter is being changed", execution_outcome::not_executed);
+    throw retryable_error(errc::busy, "another membership change is in progress", execution_outcome::not_executed);
 }
 
 // Appends a new membership and waits until it is committed and no longer joint. After adding or removing a single
@@ -83,7 +83,9 @@
 // intermediate list has an additional voter, which could be lost as well.
 auto consensus::change_voters(std::vector<voter> new_voters, monotonic_time deadline) -> task<void> {
   if (!leadership_established() || transferring_)
-    throw retryable_error(errc::busy, "the leader is not settled", execution_outcome::not_executed);
+    throw retryable_error(errc::busy,
+                          "the leader has not committed an entry of its term yet or is transferring its leadership",
+                          execution_outcome::not_executed);
   check_no_change_pending();
   auto term = log_.term;
   auto command = membership_command();
@@ -98,7 +100,9 @@
       break;
   }
   if (!is_leader() || log_.term != term || change_pending())
-    throw retryable_error(errc::unclear, "the change of voters was not finished in time", execution_outcome::unknown);
+    throw retryable_error(
+        errc::unclear, "the membership change is not known to be committed: the deadline passed or the leader changed",
+        execution_outcome::unknown);
 }
 
 // Appends the final membership after a joint membership is committed. The leader waits until it has also committed an
@@ -116,13 +120,14 @@
 // Removes a voter that has been unresponsive for too long. A failure is logged; the leader tries again later.
 auto consensus::remove_voter(voter target) -> task<void> {
   reachridge::log(log_level::warning, settings_.name,
-                  "voter " + target.address + " has been silent for long; it is removed");
+                  "removing voter " + target.address + ": it has not replied for too long");
   auto new_voters = voters();
   new_voters.erase(std::remove(new_voters.begin(), new_voters.end(), target), new_voters.end());
   try {
     co_await change_voters(std::move(new_voters), host_.now() + settings_.failure_timeout);
   } catch (const request_error& error) {
-    reachridge::log(log_level::info, settings_.name, "voter " + target.address + ": " + error.what());
+    reachridge::log(log_level::info, settings_.name,
+                    "removal of voter " + target.address + " did not complete: " + error.what());
   }
 }
 
@@ -201,7 +206,7 @@
 // Forwards a join request to the leader and returns the leader's reply unchanged.
 auto consensus::forward_join(join_request request) -> task<value> {
   if (leader_address_.empty())
-    throw retryable_error(errc::no_leader, "no leader yet", execution_outcome::not_executed);
+    throw retryable_error(errc::no_leader, "no leader of the replicated log is known", execution_outcome::not_executed);
   auto message = encode(request);
   co_return co_await call_leader(std::move(message), host_.now() + settings_.failure_timeout * join_timeouts);
 }
@@ -210,19 +215,21 @@
 auto consensus::check_join_allowed(const join_request& request) const -> void {
   const auto& joining = request.joining;
   if (joining.address == local_voter_.address && joining != local_voter_)
-    throw request_error(errc::malformed, "join: addr is the leader's own");
+    throw request_error(errc::malformed, "join: addr is the address of the leader, which has a different disk");
   const auto& own_log_id = log_.log_id();
   if (!request.log_id.empty() && !own_log_id.empty() && request.log_id != own_log_id) {
     reachridge::log(log_level::warning, settings_.name,
-                    joining.address + " has a disk of another fleet's ledger; it is not let in");
+                    joining.address + " cannot join: its disk belongs to the replicated log of another cluster");
     throw request_error(errc::foreign_disk,
-                        "the disk holds another fleet's ledger: empty the folder, or name its own fleet's seeds",
+                        "the disk belongs to the replicated log of another cluster: empty the data directory or "
+                        "configure the seeds of that cluster",
                         execution_outcome::not_executed);
   }
   // Until the leader has committed an entry of its own term, it may not know the result of an earlier membership
   // change.
   if (!leadership_established())
-    throw retryable_error(errc::busy, "the leader is not settled yet", execution_outcome::not_executed);
+    throw retryable_error(errc::busy, "the leader has not committed an entry of its term yet",
+                          execution_outcome::not_executed);
   check_no_change_pending();
 }
 
@@ -232,11 +239,11 @@
   add_learner(joining);
   auto ready = co_await wait_until_caught_up(joining, host_.now() + settings_.failure_timeout);
   if (!ready)
-    throw retryable_error(errc::catching_up, "the newcomer does not have all entries yet",
+    throw retryable_error(errc::catching_up, "the joining control node has not caught up with the replicated log yet",
                           execution_outcome::not_executed);
   co_await change_voters(voters_after_join(joining), host_.now() + settings_.failure_timeout);
   learners_.erase(joining);
-  reachridge::log(log_level::info, settings_.name, joining.address + " is a voter now");
+  reachridge::log(log_level::info, settings_.name, joining.address + " became a voter");
 }
 
 auto consensus::on_describe(const describe_request& request) const -> describe_reply {
--- a/src/raft/replication.cpp
+++ b/src/raft/replication.cpp
@@ -16,7 +16,7 @@
   try {
     co_await log_.sync();
   } catch (const request_error&) {
-    reachridge::log(log_level::error, settings_.name, "the disk of the replicated log fails; giving up the leadership");
+    reachridge::log(log_level::error, settings_.name, "cannot sync the replicated log to disk; a leader steps down");
     if (is_leader())
       become_follower(log_.term, "");
     co_return;
@@ -261,7 +261,7 @@
     if (index <= log_.first() || log_.term_at(index) == entry.term)
       continue;
     if (index <= commit_index_)
-      throw request_error(errc::conflict, "append_entries: an entry differs from a committed one");
+      throw request_error(errc::conflict, "append_entries: an entry conflicts with a committed entry");
     if (index <= log_.last())
       log_.truncate_from(index);
     log_.append(entry.term, entry.command);
--- a/src/raft/snapshot.cpp
+++ b/src/raft/snapshot.cpp
@@ -82,7 +82,8 @@
   try {
     content = deserialize_snapshot(assembled.bytes);
     if (content.index != assembled.index || content.term != assembled.term)
-      throw request_error(errc::malformed, "install_snapshot: the snapshot is not the one that was named");
+      throw request_error(errc::malformed,
+                          "install_snapshot: the index or term of the snapshot differs from that in its chunks");
     state_machine_.restore(content.state);
   } catch (const decode_error& error) {
     throw request_error(errc::malformed, std::string("install_snapshot: ") + error.what());
@@ -90,7 +91,7 @@
   log_.install(content, std::move(assembled.bytes));
   commit_index_ = applied_index_ = content.index;
   commit_advanced_.wake();
-  reachridge::log(log_level::info, settings_.name, "snapshot installed, up to entry " + to_string(content.index));
+  reachridge::log(log_level::info, settings_.name, "installed snapshot, last index " + to_string(content.index));
 }
 
 auto consensus::needed_index() const -> log_index {
