--- a/src/gateway/client_codec.cpp
+++ b/src/gateway/client_codec.cpp
@@ -57,7 +57,7 @@
 }
 
 // The fields that every answer to a publish ends with.
-auto finish_publish_answer(object answer, const echoed_fields& echoed) -> object {
+auto add_publish_answer_fields(object answer, const echoed_fields& echoed) -> object {
   answer["op"] = "verdict";
   answer["for"] = "publish";
   answer["topic"] = echoed.topic;
@@ -67,7 +67,7 @@
 }
 
 // The fields that every answer to a count ends with.
-auto finish_count_answer(object answer, const echoed_fields& echoed) -> object {
+auto add_count_answer_fields(object answer, const echoed_fields& echoed) -> object {
   answer["op"] = "verdict";
   answer["for"] = "count";
   set_unless_null(answer, "topic", echoed.topic);
@@ -86,10 +86,10 @@
 }
 
 auto parse_operation(const std::string& name) -> operation {
-  const auto* row = std::find_if(operations.begin(), operations.end(), [&](const auto& one) {
-    return one.first == name;
+  const auto* found = std::find_if(operations.begin(), operations.end(), [&](const auto& entry) {
+    return entry.first == name;
   });
-  return row == operations.end() ? operation::unknown : row->second;
+  return found == operations.end() ? operation::unknown : found->second;
 }
 
 auto check_heartbeat(const value& request) -> void {
@@ -198,19 +198,19 @@
 }
 
 auto encode_published(const publish_result& result, const echoed_fields& echoed) -> object {
-  return finish_publish_answer(encode_publish_result(result), echoed);
+  return add_publish_answer_fields(encode_publish_result(result), echoed);
 }
 
 auto encode_publish_error(const request_error& error, const echoed_fields& echoed) -> object {
-  return finish_publish_answer(error.to_value().as_object(), echoed);
+  return add_publish_answer_fields(error.to_value().as_object(), echoed);
 }
 
 auto encode_counted(std::int64_t count, const echoed_fields& echoed) -> object {
-  return finish_count_answer(object{{"verdict", "done"}, {"count", count}}, echoed);
+  return add_count_answer_fields(object{{"verdict", "done"}, {"count", count}}, echoed);
 }
 
 auto encode_count_error(const request_error& error, const echoed_fields& echoed) -> object {
-  return finish_count_answer(error.to_value().as_object(), echoed);
+  return add_count_answer_fields(error.to_value().as_object(), echoed);
 }
 
 auto encode_subscribed(const subscribe_result& result) -> object {
--- a/src/gateway/client_codec_test.cpp
+++ b/src/gateway/client_codec_test.cpp
@@ -1,15 +1,15 @@
 #include "gateway/client_codec.hpp"
 
-// After all others: it redefines new.
+// Must be the last include because the header redefines new.
 #include <CppUTest/TestHarness.h>
 
 namespace {
 using namespace reachridge;
 using namespace reachridge::client_api;
 
-// The error that decoding throws; empty: it throws none.
+// Returns the code and text of the error that decoding throws, or an empty string if decoding succeeds.
 template <class Decode>
-auto fault_of(Decode decode, const char* json) -> std::string {
+auto error_of(Decode decode, const char* json) -> std::string {
   try {
     decode(boost::json::parse(json));
     return {};
@@ -25,7 +25,7 @@
 
 TEST_GROUP(client_codec){};
 
-TEST(client_codec, requests_are_read_with_all_their_fields) {
+TEST(client_codec, requests_decode_with_all_fields) {
   const auto published =
       decode_publish(boost::json::parse(R"({"op":"publish","topic":"a/x","seq":7,"body":"text","id":1})"));
   STRCMP_EQUAL("a/x", published.topic.c_str());
@@ -39,22 +39,22 @@
   CHECK(parse_operation("dance") == operation::unknown);
 }
 
-TEST(client_codec, a_fault_names_its_field) {
-  STRCMP_EQUAL("malformed: a line that is no JSON object", fault_of(operation_name, "[]").c_str());
-  STRCMP_EQUAL("malformed: op is missing", fault_of(operation_name, R"({"op":1})").c_str());
-  STRCMP_EQUAL("malformed: unknown field 'colour'", fault_of(decode_count, R"({"topic":"a","colour":1})").c_str());
-  STRCMP_EQUAL("malformed: topic is missing", fault_of(decode_unsubscribe, R"({"topic":2})").c_str());
+TEST(client_codec, decode_errors_name_the_invalid_field) {
+  STRCMP_EQUAL("malformed: a line that is no JSON object", error_of(operation_name, "[]").c_str());
+  STRCMP_EQUAL("malformed: op is missing", error_of(operation_name, R"({"op":1})").c_str());
+  STRCMP_EQUAL("malformed: unknown field 'colour'", error_of(decode_count, R"({"topic":"a","colour":1})").c_str());
+  STRCMP_EQUAL("malformed: topic is missing", error_of(decode_unsubscribe, R"({"topic":2})").c_str());
   STRCMP_EQUAL("malformed: seq is missing or no whole number",
-               fault_of(decode_publish, R"({"topic":"a","seq":"1","body":"b"})").c_str());
-  STRCMP_EQUAL("malformed: body is missing or no string", fault_of(decode_publish, R"({"topic":"a","seq":1})").c_str());
+               error_of(decode_publish, R"({"topic":"a","seq":"1","body":"b"})").c_str());
+  STRCMP_EQUAL("malformed: body is missing or no string", error_of(decode_publish, R"({"topic":"a","seq":1})").c_str());
   STRCMP_EQUAL("malformed: cursor wants a string",
-               fault_of(decode_subscribe, R"({"topic":"a","cursor":1,"after":1})").c_str());
+               error_of(decode_subscribe, R"({"topic":"a","cursor":1,"after":1})").c_str());
   STRCMP_EQUAL("malformed: after stands beside cursor",
-               fault_of(decode_subscribe, R"({"topic":"a","cursor":"1.z","after":-1})").c_str());
-  STRCMP_EQUAL("malformed: after wants a position", fault_of(decode_subscribe, R"({"topic":"a","after":-1})").c_str());
+               error_of(decode_subscribe, R"({"topic":"a","cursor":"1.z","after":-1})").c_str());
+  STRCMP_EQUAL("malformed: after wants a position", error_of(decode_subscribe, R"({"topic":"a","after":-1})").c_str());
 }
 
-TEST(client_codec, answers_keep_their_fields_and_the_order_of_these) {
+TEST(client_codec, answers_have_the_documented_fields_in_order) {
   const auto echoed = echoed_fields{"a/x", 7, "mine"};
   const auto failed = request_error(errc::busy, "later", execution_outcome::not_executed, 40);
   check_json(
--- a/src/gateway/client_messages.hpp
+++ b/src/gateway/client_messages.hpp
@@ -1,6 +1,6 @@
-// Requests of clients and the answers to them (design 7; docs/api.md, "The long link").
+// Client requests and the answers to them (design 7; docs/api.md, "The long link").
 //
-// `client_transport` carries them as values; client_codec.hpp translates between the two.
+// `client_transport` carries these messages as values. client_codec.hpp converts between the structs and the values.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -11,16 +11,16 @@
 
 namespace reachridge::client_api {
 
-// What a client asks for on its connection.
+// The operation that a client requests on its connection.
 enum class operation {
-  enrol,      // names the client; comes before all that follow
-  publish,    // sends one message to a topic
-  subscribe,  // asks for the messages of a topic
+  enrol,      // names the client; must precede the operations below up to `count`
+  publish,    // publishes one message to a topic
+  subscribe,  // subscribes to the messages of a topic
   unsubscribe,
-  count,       // asks how many clients are subscribed to a topic
-  heartbeat,   // a sign of life without an answer
-  unreadable,  // made by the transport from bytes that are no request
-  unknown      // an operation that is not defined
+  count,       // returns the number of clients that are subscribed to a topic
+  heartbeat,   // shows that the client is alive; has no answer
+  unreadable,  // created by the transport in place of bytes that are not a valid request
+  unknown      // any other operation name
 };
 
 struct enrol_request {
@@ -35,7 +35,7 @@
 
 struct subscribe_request {
   std::string topic;
-  std::optional<std::int64_t> after;  // the position to continue behind; never given beside a cursor
+  std::optional<std::int64_t> after;  // last position received; never given together with a cursor
   std::optional<std::string> cursor;
 };
 
@@ -47,42 +47,42 @@
   std::string topic;
 };
 
-// A publish by a single HTTP request, which names its client itself.
+// A publish in one HTTP request. The request itself names the client.
 struct single_publish_request {
   std::string client;
   publish_request message;
 };
 
-// A read of kept messages by a single HTTP request.
+// A read of retained messages in one HTTP request.
 struct read_request {
   std::string client;
   std::string topic;
-  std::int64_t after = -1;  // -1: from the oldest message kept
+  std::int64_t after = -1;  // last position received; -1: start with the oldest retained message
 };
 
-// Fields of a request that its answer repeats as they came, of whatever type they are; null: absent.
+// Request fields that the answer repeats unchanged, whatever their type. null: the request has no such field.
 struct echoed_fields {
   value topic;
   value sequence;
   value id;
 };
 
-// A message was accepted; `position` is absent where the storage node gave none.
+// Result of an accepted publish. `position` is absent if the storage node returned none.
 struct publish_result {
   std::string topic;
   std::int64_t sequence = 0;
   std::optional<std::int64_t> position;
-  bool repeated = false;  // it had been accepted before
+  bool repeated = false;  // the message had already been accepted earlier
 };
 
-// A subscription is open and continues behind `position`.
+// Result of an accepted subscribe request. Deliveries start after `position`.
 struct subscribe_result {
   std::string topic;
   std::int64_t position = 0;
-  std::optional<std::string> cursor;  // only for transports that want cursors
+  std::optional<std::string> cursor;  // present only if the transport wants cursors
 };
 
-// One message for a subscriber. What the storage node sent about it is passed on unread.
+// One message for a subscriber. The fields of type `value` are forwarded as the storage node sent them.
 struct delivery {
   std::string topic;
   std::int64_t position = 0;
@@ -90,17 +90,17 @@
   value sequence;
   value body;
   value published_at;
-  std::optional<std::string> cursor;  // only for transports that want cursors
+  std::optional<std::string> cursor;  // present only if the transport wants cursors
 };
 
-// A newer configuration ended a subscription.
+// Tells a client that a newer configuration ended its subscription after the message at `position`.
 struct subscription_ended {
   std::string topic;
   errc code = errc::permission_denied;
   std::int64_t position = 0;
 };
 
-// A storage node refused a subscription that was (`was_open`) or was not yet confirmed to the client.
+// A storage node refused a subscription. `was_open`: the gateway had already confirmed the subscription to the client.
 struct subscription_refused {
   request_error error;
   std::string topic;
@@ -108,10 +108,10 @@
   bool was_open = false;
 };
 
-// Asks a client to connect elsewhere, since this gateway drains.
+// Asks a client to connect to another gateway because this gateway is draining.
 struct redirect {
   std::int64_t retry_after_ms = 0;
-  std::optional<std::string> address;  // absent: no other gateway is known
+  std::optional<std::string> address;  // HTTP address of another gateway; absent: none is known
 };
 
 }  // namespace reachridge::client_api
--- a/src/gateway/http_client_transport.cpp
+++ b/src/gateway/http_client_transport.cpp
@@ -6,7 +6,7 @@
   auto line = std::optional<std::string>();
   try {
     line = co_await lines_->next(until);
-  } catch (const request_error& error) {  // a line beyond all bounds: nothing after it can be read
+  } catch (const request_error& error) {  // the line exceeds its size limit: input after it is lost
     co_return value(object{{"op", "bad"}, {"code", error.code_text()}, {"why", error.message}, {"last", true}});
   }
   if (!line)
--- a/src/gateway/http_client_transport.hpp
+++ b/src/gateway/http_client_transport.hpp
@@ -1,4 +1,4 @@
-// A client's HTTP connection of docs/api.md, "The long link", as a client_transport (design 7.4).
+// Implements client_transport for client connections over HTTP (design 7.4; docs/api.md, "The long link").
 #pragma once
 #include <memory>
 
@@ -7,7 +7,7 @@
 
 namespace reachridge {
 
-// Each line is one JSON request; each answer leaves as one JSON line.
+// Reads one JSON request per line and writes each answer as one JSON line.
 class http_client_transport : public client_transport {
  public:
   explicit http_client_transport(std::shared_ptr<json_lines> lines) : lines_(std::move(lines)) {}
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -1,4 +1,4 @@
-// The daemon of a gateway.
+// Entry point of the gateway daemon.
 #include "runtime/daemon.hpp"
 
 #include "gateway/gateway.hpp"
--- a/src/gateway/storage_codec.cpp
+++ b/src/gateway/storage_codec.cpp
@@ -1,8 +1,10 @@
+// Encodes and decodes the messages between a gateway and the primaries of partitions.
 #include "gateway/storage_messages.hpp"
 
 namespace reachridge::storage_api {
 namespace {
 
+// Returns nothing if the field is missing or not an integer.
 auto get_optional_int(const value& message, std::string_view field) -> std::optional<std::int64_t> {
   const auto& number = get_value(message, field);
   if (!number.is_int64())
--- a/src/gateway/storage_codec_test.cpp
+++ b/src/gateway/storage_codec_test.cpp
@@ -1,6 +1,6 @@
 #include "gateway/storage_messages.hpp"
 
-// After all others: it redefines new.
+// Must be the last include because the header redefines new.
 #include <CppUTest/TestHarness.h>
 
 namespace {
@@ -10,7 +10,7 @@
 
 TEST_GROUP(gateway_storage_codec){};
 
-TEST(gateway_storage_codec, messages_keep_their_fields_and_the_order_of_these) {
+TEST(gateway_storage_codec, messages_have_the_documented_fields_in_order) {
   STRCMP_EQUAL(R"({"op":"pub","cell":"p/1","t":"a/x","d":"me","s":7,"b":"text","keep":35})",
                to_json(encode(publish_request{"p/1", "a/x", "me", 7, "text", 35})).c_str());
   STRCMP_EQUAL(R"({"op":"count","cell":"p/1","t":"a/x"})", to_json(encode(count_request{"p/1", "a/x"})).c_str());
@@ -21,13 +21,13 @@
   STRCMP_EQUAL(R"({"op":"end","cell":"p/1","i":"g:1"})", to_json(encode(unsubscribe_message{"p/1", "g:1"})).c_str());
 }
 
-TEST(gateway_storage_codec, a_subscribe_reply_of_an_earlier_release_counts_no_opening) {
+TEST(gateway_storage_codec, a_subscribe_reply_of_an_earlier_release_has_no_opening_number) {
   const auto reply = decode_subscribe_reply(boost::json::parse(R"({"op":"subbed","i":"g:1","ok":true,"pos":4})"));
   CHECK(reply.accepted && !reply.opening);
   CHECK(reply.position == std::int64_t{4});
 }
 
-TEST(gateway_storage_codec, a_refused_subscription_says_why) {
+TEST(gateway_storage_codec, a_refused_subscription_has_an_error_code) {
   const auto refused = [](const char* code) {
     return decode_subscribe_reply(object{{"i", "g:1"}, {"n", 2}, {"ok", false}, {"code", code}, {"pos", 4}});
   };
--- a/src/gateway/storage_messages.hpp
+++ b/src/gateway/storage_messages.hpp
@@ -1,7 +1,8 @@
-// Messages between a gateway and the primaries of partitions (design 7.2, 7.3), and their form on the connection.
+// Messages between a gateway and the primaries of partitions (design 7.2, 7.3), and the functions that encode and
+// decode them.
 //
-// storage_codec.cpp is the only place of the gateway that knows their field names. Decoding throws decode_error that
-// names a field which is missing or of a wrong type.
+// Within the gateway only storage_codec.cpp knows the field names of these messages. The decode functions throw
+// decode_error, whose text names the field that is missing or has the wrong type.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -13,7 +14,7 @@
 
 namespace reachridge::storage_api {
 
-// Requests, each answered by a reply.
+// Requests. The primary answers each one with a reply.
 
 struct publish_request {
   std::string partition;
@@ -21,12 +22,12 @@
   std::string client;
   std::int64_t sequence = 0;
   std::string body;
-  std::int64_t keep_ms = 0;  // 0: the message is not kept
+  std::int64_t keep_ms = 0;  // retention of the message; 0: not retained
 };
 
 struct publish_reply {
   std::optional<std::int64_t> position;
-  bool repeated = false;  // it had been accepted before
+  bool repeated = false;  // the message had already been accepted earlier
 };
 
 struct count_request {
@@ -37,18 +38,18 @@
 struct read_request {
   std::string partition;
   std::string topic;
-  std::int64_t after = -1;
+  std::int64_t after = -1;  // last position received; -1: start with the oldest retained message
 };
 
 // One-way messages to a primary.
 
 struct subscribe_message {
   std::string partition;
-  std::string subscription;  // its id
+  std::string subscription;  // subscription id
   std::string topic;
   std::string client;
-  std::int64_t after = -1;   // the last position received; -1: begin with what comes next
-  std::int64_t opening = 0;  // a primary ignores a lower count than the highest it knows
+  std::int64_t after = -1;   // last position received; -1: start with the next message
+  std::int64_t opening = 0;  // number of this opening; primaries ignore lower numbers than the highest received
 };
 
 struct unsubscribe_message {
@@ -60,7 +61,8 @@
 
 enum class notification { delivery, subscribe_reply, partition_moved, unknown };
 
-// One message for some subscriptions. The gateway passes on what it does not need to read.
+// One message and the subscriptions that receive it. The gateway forwards the fields of type `value` without reading
+// them.
 struct delivery {
   std::vector<std::string> subscriptions;
   std::int64_t position = 0;
@@ -72,13 +74,13 @@
 
 struct subscribe_reply {
   std::string subscription;
-  std::optional<std::int64_t> opening;  // absent: sent by a release that does not count openings
+  std::optional<std::int64_t> opening;  // absent: the primary runs a release that does not number openings
   bool accepted = false;
-  std::optional<std::int64_t> position;  // present if accepted
-  errc code = errc::position_unknown;    // why it was not accepted
+  std::optional<std::int64_t> position;  // always present if accepted
+  errc code = errc::position_unknown;    // reason of the refusal, if not accepted
 };
 
-// The sender is the partition's primary no more.
+// Tells the gateway that the sender is no longer the primary of the partition.
 struct partition_moved {
   std::string partition;
 };
@@ -91,6 +93,7 @@
 
 auto decode_publish_reply(const value& reply) -> publish_reply;
 auto decode_count_reply(const value& reply) -> std::int64_t;
+// Returns notification::unknown for a message that this release does not define.
 auto notification_kind(const value& message) -> notification;
 auto decode_delivery(const value& message) -> delivery;
 auto decode_subscribe_reply(const value& message) -> subscribe_reply;
