--- a/src/gateway/client_service.cpp
+++ b/src/gateway/client_service.cpp
@@ -8,9 +8,9 @@
 namespace reachridge {
 namespace {
 
-constexpr auto slow_reader_share = std::size_t{16};  // of buffer_bytes: more unsent bytes close a connection
+constexpr auto unsent_limit_divisor = std::size_t{16};  // more unsent bytes than buffer_bytes / 16 close a connection
 constexpr auto drain_steps_per_heartbeat = 4;
-constexpr auto redirect_start_bound = std::uint64_t{64};  // over which the first redirect target is drawn
+constexpr auto redirect_start_bound = std::uint64_t{64};  // exclusive bound of the random index of the first target
 
 }  // namespace
 
@@ -18,23 +18,24 @@
   return clients_.size() < static_cast<std::size_t>(settings_.max_clients);
 }
 
-// A gateway that only just starts is about to serve: who comes meanwhile waits for its lease, but not for long.
+// A starting gateway usually obtains its lease soon. Clients that connect before that wait for the lease for half the
+// failure timeout at most, so that they are neither refused needlessly nor held for long.
 auto gateway::wait_for_first_lease() -> task<void> {
   const auto wait_until = host_.now() + settings_.failure_timeout / 2;
-  while (!served_once_ && !leaving_ && host_.now() < wait_until &&
-         clients_.size() + waiting_for_lease_ < static_cast<std::size_t>(settings_.max_clients)) {
-    ++waiting_for_lease_;
+  while (!has_served_ && !draining_ && host_.now() < wait_until &&
+         clients_.size() + connections_waiting_for_lease_ < static_cast<std::size_t>(settings_.max_clients)) {
+    ++connections_waiting_for_lease_;
     co_await session.changed.wait(host_, wait_until);
-    --waiting_for_lease_;
-    served_once_ = served_once_ || is_serving();
+    --connections_waiting_for_lease_;
+    has_served_ = has_served_ || is_serving();
   }
 }
 
-// Answers the first request, if one comes, with when to return.
+// Answers the first request, if there is one, with an error that names a retry time, and closes the connection.
 auto gateway::refuse_connection(client_ptr client) -> task<void> {
   auto first = co_await client->transport->next(host_.now() + settings_.failure_timeout);
   const auto error =
-      request_error(served_once_ ? errc::busy : errc::not_ready, "this node takes no links now",
+      request_error(has_served_ ? errc::busy : errc::not_ready, "this node takes no links now",
                     execution_outcome::not_executed, host_.jittered(settings_.failure_timeout) / millisecond);
   if (first)
     send(client, client_api::encode_connection_error(error));
@@ -45,8 +46,8 @@
   auto client = std::make_shared<client_connection>();
   client->transport = std::move(transport);
   co_await wait_for_first_lease();
-  // One that has served keeps its connections while it lacks a lease: each request is refused.
-  if (!served_once_ || !has_room()) {
+  // A gateway that has served accepts connections even while it has no lease; it refuses each request instead.
+  if (!has_served_ || !has_room()) {
     co_await refuse_connection(client);
     co_return;
   }
@@ -66,8 +67,8 @@
     handle_request(client, *request);
     if (is_last)
       break;
-    const auto came_during_drain = leaving_ && client->id > last_client_before_leaving_;
-    if (came_during_drain && !client->redirected)
+    const auto connected_during_drain = draining_ && client->id > last_client_before_drain_;
+    if (connected_during_drain && !client->redirected)
       redirect(client);
   }
 }
@@ -83,9 +84,9 @@
 auto gateway::send(const client_ptr& client, const value& message) -> void {
   if (client->closed)
     return;
-  const auto unsent_limit = static_cast<std::size_t>(settings_.buffer_bytes) / slow_reader_share;
+  const auto unsent_limit = static_cast<std::size_t>(settings_.buffer_bytes) / unsent_limit_divisor;
   if (client->transport->stream().unsent_bytes() > unsent_limit) {
-    client->closed = true;  // a slow reader: it resumes by position when it can read again
+    client->closed = true;  // the client reads too slowly; it can reconnect and resume by position
     reachridge::log(log_level::info, settings_.name, "connection of slow reader " + client->name + " is closed");
     client->transport->stream().close();
     return;
@@ -93,13 +94,14 @@
   client->transport->send(message);
 }
 
-// Names a ready gateway of this zone, or of another zone if there is none.
+// Redirects the client to a ready gateway of this zone, or of another zone if this zone has none.
 auto gateway::redirect(const client_ptr& client) -> void {
   auto same_zone = std::vector<std::string>();
   auto other_zones = std::vector<std::string>();
   for (const auto& [name, node] : session.view.nodes()) {
-    const auto takes_clients = node.kind == gateway_kind && node.ready && !node.stopping && !node.http_address.empty();
-    if (!takes_clients || node.http_address == session.self.http_address)
+    const auto accepts_clients =
+        node.kind == gateway_kind && node.ready && !node.stopping && !node.http_address.empty();
+    if (!accepts_clients || node.http_address == session.self.http_address)
       continue;
     (node.zone == settings_.zone ? same_zone : other_zones).push_back(node.http_address);
   }
@@ -112,10 +114,10 @@
   send(client, client_api::encode_redirect(target));
 }
 
-// Not ready first; then clients are redirected a few at a time, those with nothing in flight first, so that no answer
-// is lost and the others are not flooded.
+// Reports the gateway as not ready before it redirects clients. It redirects them in batches so that the other gateways
+// are not overloaded, and clients without requests in flight first so that no answer is lost.
 auto gateway::leave(monotonic_time limit) -> task<void> {
-  leaving_ = true;
+  draining_ = true;
   session.self.ready = false;
   session.self.stopping = true;
   const auto start = host_.now();
@@ -123,19 +125,19 @@
   const auto redirects_end = start + (end - start) / 2;
   reachridge::log(log_level::info, settings_.name,
                   "draining: " + std::to_string(clients_.size()) + " connections are redirected");
-  last_client_before_leaving_ = last_client_id_;
+  last_client_before_drain_ = last_client_id_;
   redirect_count_ = host_.random_below(redirect_start_bound);
   while (host_.now() < end && !clients_.empty()) {
-    redirect_some(std::max<monotonic_time>(redirects_end - host_.now(), 0));
+    redirect_batch(std::max<monotonic_time>(redirects_end - host_.now(), 0));
     co_await sleep_for(host_, settings_.heartbeat_interval / drain_steps_per_heartbeat);
   }
   close_clients();
   co_await session.leave(host_.now() + settings_.heartbeat_interval);
 }
 
-// One step of the drain: so many that all are redirected when `time_left` has passed. Clients with requests in flight
-// are passed over until then.
-auto gateway::redirect_some(monotonic_time time_left) -> void {
+// Performs one step of the drain. The batch is large enough that all clients are redirected when `time_left` has
+// passed. Clients with requests in flight are skipped until then.
+auto gateway::redirect_batch(monotonic_time time_left) -> void {
   auto all = clients_;
   const auto remaining = std::count_if(all.begin(), all.end(), [](const auto& entry) {
     return !entry.second->redirected;
--- a/src/gateway/cursor.cpp
+++ b/src/gateway/cursor.cpp
@@ -1,3 +1,4 @@
+// Cursors have the form POSITION.CHECKSUM with both numbers in base 36.
 #include "gateway/cursor.hpp"
 
 #include <charconv>
@@ -8,26 +9,26 @@
 namespace {
 
 constexpr auto number_base = 36;
-constexpr auto checksum_shift = 28;  // leaves 36 bits of the hash: seven digits
+constexpr auto checksum_shift = 28;  // keeps 36 bits of the hash, which fit into seven digits
 constexpr auto max_cursor_bytes = std::size_t{32};
 
-auto to_digits(std::uint64_t number) -> std::string {
+auto to_base36(std::uint64_t number) -> std::string {
   char buffer[16];
   auto [end, error] = std::to_chars(buffer, buffer + sizeof buffer, number, number_base);
   return {buffer, end};
 }
 
 auto checksum(const std::string& topic, const std::string& partition, std::int64_t position) -> std::string {
-  return to_digits(hash64(topic + " " + partition + " " + std::to_string(position)) >> checksum_shift);
+  return to_base36(hash64(topic + " " + partition + " " + std::to_string(position)) >> checksum_shift);
 }
 
 }  // namespace
 
-auto write_cursor(const std::string& topic, const std::string& partition, std::int64_t position) -> std::string {
-  return to_digits(static_cast<std::uint64_t>(position)) + "." + checksum(topic, partition, position);
+auto encode_cursor(const std::string& topic, const std::string& partition, std::int64_t position) -> std::string {
+  return to_base36(static_cast<std::uint64_t>(position)) + "." + checksum(topic, partition, position);
 }
 
-auto read_cursor(const std::string& text, const std::string& topic, const std::string& partition)
+auto decode_cursor(const std::string& text, const std::string& topic, const std::string& partition)
     -> std::optional<std::int64_t> {
   const auto dot = text.find('.');
   if (dot == std::string::npos || dot == 0 || text.size() > max_cursor_bytes)
@@ -38,7 +39,7 @@
   const auto is_number = error == std::errc() && end == number_end;
   if (!is_number || position < 0)
     return {};
-  if (text != write_cursor(topic, partition, position))
+  if (text != encode_cursor(topic, partition, position))
     return {};
   return position;
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,4 +1,4 @@
-// Life cycle of the gateway, its descriptor and its status.
+// Life cycle, descriptor and status of the gateway.
 #include "gateway/gateway.hpp"
 
 #include <algorithm>
@@ -10,9 +10,9 @@
 namespace reachridge {
 namespace {
 
-constexpr auto heartbeats_per_beat = 5;  // clients get a sign of life once in so many heartbeat intervals
+constexpr auto intervals_per_client_heartbeat = 5;  // heartbeat intervals between two heartbeats to a client
 
-// Sets the subscriptions of this run apart from those of an earlier one.
+// Returns a prefix with a random run id, which keeps subscription ids of this run distinct from those of earlier runs.
 auto subscription_id_prefix(host& machine, const std::string& gateway_name) -> std::string {
   char run_id[20];
   std::snprintf(run_id, sizeof run_id, "%08llx", static_cast<unsigned long long>(machine.random() >> 32));
@@ -49,10 +49,10 @@
 gateway::~gateway() = default;
 
 auto gateway::is_serving() const -> bool {
-  return !leaving_ && session.may_serve() && session.is_synchronized();
+  return !draining_ && session.may_serve() && session.is_synchronized();
 }
 
-// Out of an evacuated zone new connections go elsewhere, as long as another gateway can take them.
+// A gateway in an evacuated zone is not ready while another gateway can accept new connections.
 auto gateway::ready() const -> bool {
   if (!is_serving())
     return false;
@@ -84,7 +84,7 @@
   };
   connection->on_state_change = [this, address](bool is_up) {
     if (!is_up)
-      subscriptions_.lose_primaries_at(address);
+      subscriptions_.detach_from_node(address);
     session.changed.wake();
   };
   return *connection;
@@ -101,18 +101,18 @@
 
 auto gateway::heartbeat_loop() -> task<void> {
   while (true) {
-    co_await sleep_for(host_, settings_.heartbeat_interval * heartbeats_per_beat);
+    co_await sleep_for(host_, settings_.heartbeat_interval * intervals_per_client_heartbeat);
     auto all = clients_;
     for (auto& [id, client] : all)
       send(client, client_api::encode_heartbeat());
   }
 }
 
-// What other nodes learn of this one. Where it may have to redirect clients to other zones it asks for the gateways of
-// all zones as well: its own zone is evacuated, or no other gateway is there.
+// Updates the descriptor that other nodes receive. Also requests the gateways of all zones if this gateway may have to
+// redirect clients to other zones: its zone is evacuated or has had no other gateway for half the failure timeout.
 auto gateway::update_descriptor() -> void {
   session.self.ready = ready();
-  session.self.stopping = leaving_;
+  session.self.stopping = draining_;
   session.self.load = static_cast<std::int64_t>(clients_.size());
   const auto nodes = session.view.nodes();
   const auto has_neighbour = std::any_of(nodes.begin(), nodes.end(), [&](const auto& entry) {
@@ -120,9 +120,9 @@
     return node.kind == gateway_kind && node.zone == settings_.zone && node.http_address != session.self.http_address;
   });
   if (has_neighbour || !session.is_synchronized())
-    alone_since_ = host_.now();
-  const auto alone_for = host_.now() - alone_since_;
-  if (session.view.is_evacuated(settings_.zone) || alone_for > settings_.failure_timeout / 2)
+    last_neighbour_seen_at_ = host_.now();
+  const auto time_without_neighbour = host_.now() - last_neighbour_seen_at_;
+  if (session.view.is_evacuated(settings_.zone) || time_without_neighbour > settings_.failure_timeout / 2)
     session.view.filter.all_zones = true;
 }
 
@@ -135,10 +135,10 @@
                 {"links", clients_.size()},
                 {"subscriptions", subscriptions_.size()},
                 {"open", subscriptions_.open_count()},
-                {"acked", acked_},
-                {"refused", refused_},
-                {"unclear", unclear_},
-                {"delivered", delivered_},
+                {"acked", acknowledged_publishes_},
+                {"refused", refused_requests_},
+                {"unclear", unclear_publishes_},
+                {"delivered", delivered_messages_},
                 {"beliefs", session.view.encode_known_state()}};
 }
 
--- a/src/gateway/gateway_test.cpp
+++ b/src/gateway/gateway_test.cpp
@@ -5,23 +5,24 @@
 #include "runtime/log.hpp"
 #include "simulator/fleet.hpp"
 
-// After all others: it redefines new.
+// Must be the last include because the header redefines new.
 #include <CppUTest/TestHarness.h>
 
 namespace {
 using namespace reachridge;
 
-// A small fleet that serves, and connections to its first gateway.
+// A simulated cluster without clients of its own, and raw connections to its first gateway.
 struct gateway_fleet {
   gateway_fleet() : simulated(7, shape()) {
-    ok = simulated.begin();
+    has_started = simulated.begin();
   }
   static auto shape() -> fleet_shape {
     auto without_clients = fleet_shape();
     without_clients.clients = 0;
     return without_clients;
   }
-  // Sends raw lines on one connection; returns the outcomes and codes of the answers that came, in order.
+  // Sends raw lines on one connection. Returns the verdict and code of each answer in order of arrival, with " later"
+  // for answers that contain a retry time.
   auto send_lines(std::vector<std::string> lines, monotonic_time wait = 2 * second) -> std::vector<std::string> {
     auto answers = std::make_shared<std::vector<std::string>>();
     simulated.operator_tasks->spawn(exchange_lines(simulated, std::move(lines), answers));
@@ -29,8 +30,8 @@
     return *answers;
   }
 
-  // The HTTP status of one request.
-  auto get(std::string method, std::string path, std::string body) -> int {
+  // Sends one HTTP request and returns the status of its response.
+  auto request_status(std::string method, std::string path, std::string body) -> int {
     auto status = std::make_shared<int>(0);
     simulated.operator_tasks->spawn(fetch_status(simulated, method, path, body, status));
     simulated.network.run(simulated.network.clock + 2 * second);
@@ -66,14 +67,14 @@
   }
 
   fleet simulated;
-  bool ok = false;
+  bool has_started = false;
 };
 }  // namespace
 TEST_GROUP(gateway_bad_input){};
 
-TEST(gateway_bad_input, each_fault_gets_its_final_answer_and_the_link_goes_on) {
+TEST(gateway_bad_input, each_invalid_request_is_refused_and_the_connection_stays_open) {
   auto cluster = gateway_fleet();
-  CHECK(cluster.ok);
+  CHECK(cluster.has_started);
   auto answers = cluster.send_lines(
       {"{not json", "[1]", R"({"op":"publish","topic":"alerts/x","seq":1,"body":"b"})",
        R"({"op":"enrol","name":"a b"})", R"({"op":"enrol","name":"me"})",
@@ -85,14 +86,14 @@
        R"({"op":"subscribe","topic":"alerts/x","after":-4})", R"({"op":"subscribe","topic":"alerts/x","after":99999})",
        R"({"op":"dance"})", R"({"op":"publish","topic":"alerts/x","seq":1,"body":")" + std::string(17000, 'x') + "\"}",
        R"({"op":"unsubscribe","topic":"alerts/y"})"});
-  // Publishes are answered as they end; what matters is that each has its final error.
+  // Publishes are answered in the order in which they finish, so the test checks only the number of each error.
   LONGS_EQUAL(17, answers.size());
-  auto count = [&](const std::string& s) {
-    return std::count(answers.begin(), answers.end(), s);
+  auto count = [&](const std::string& outcome) {
+    return std::count(answers.begin(), answers.end(), outcome);
   };
   LONGS_EQUAL(9, count("refused malformed"));
   LONGS_EQUAL(1, count("refused below"));
-  LONGS_EQUAL(2, count("refused no_space"));  // a topic without '/' is one that no space's prefix begins
+  LONGS_EQUAL(2, count("refused no_space"));  // includes the topic without '/', which has no space's prefix
   LONGS_EQUAL(1, count("refused denied"));
   LONGS_EQUAL(1, count("refused ahead"));
   LONGS_EQUAL(1, count("refused too_long"));
@@ -100,27 +101,31 @@
   LONGS_EQUAL(1, count("done "));
 }
 
-TEST(gateway_bad_input, single_calls) {
+TEST(gateway_bad_input, single_requests_get_their_http_status) {
   auto cluster = gateway_fleet();
-  CHECK(cluster.ok);
-  LONGS_EQUAL(400, cluster.get("POST", "/v1/publish", "{"));
-  LONGS_EQUAL(400, cluster.get("POST", "/v1/publish", R"({"name":"me","topic":"alerts/x","seq":1})"));
-  LONGS_EQUAL(413, cluster.get("POST", "/v1/publish", std::string(80000, 'x')));
-  LONGS_EQUAL(403, cluster.get("POST", "/v1/publish", R"({"name":"me","topic":"probe/v1","seq":1,"body":"b"})"));
-  LONGS_EQUAL(404, cluster.get("GET", "/v1/nothing", ""));
-  LONGS_EQUAL(200, cluster.get("POST", "/v1/publish", R"({"name":"me","topic":"alerts/x","seq":5,"body":"b"})"));
-  LONGS_EQUAL(200, cluster.get("POST", "/v1/publish", R"({"name":"me","topic":"alerts/x","seq":5,"body":"b"})"));
-  LONGS_EQUAL(409, cluster.get("POST", "/v1/publish", R"({"name":"me","topic":"alerts/x","seq":4,"body":"b"})"));
-  LONGS_EQUAL(200, cluster.get("GET", "/v1/read?name=me&topic=alerts/x&after=0", ""));
+  CHECK(cluster.has_started);
+  LONGS_EQUAL(400, cluster.request_status("POST", "/v1/publish", "{"));
+  LONGS_EQUAL(400, cluster.request_status("POST", "/v1/publish", R"({"name":"me","topic":"alerts/x","seq":1})"));
+  LONGS_EQUAL(413, cluster.request_status("POST", "/v1/publish", std::string(80000, 'x')));
+  LONGS_EQUAL(403,
+              cluster.request_status("POST", "/v1/publish", R"({"name":"me","topic":"probe/v1","seq":1,"body":"b"})"));
+  LONGS_EQUAL(404, cluster.request_status("GET", "/v1/nothing", ""));
+  LONGS_EQUAL(200,
+              cluster.request_status("POST", "/v1/publish", R"({"name":"me","topic":"alerts/x","seq":5,"body":"b"})"));
+  LONGS_EQUAL(200,
+              cluster.request_status("POST", "/v1/publish", R"({"name":"me","topic":"alerts/x","seq":5,"body":"b"})"));
+  LONGS_EQUAL(409,
+              cluster.request_status("POST", "/v1/publish", R"({"name":"me","topic":"alerts/x","seq":4,"body":"b"})"));
+  LONGS_EQUAL(200, cluster.request_status("GET", "/v1/read?name=me&topic=alerts/x&after=0", ""));
 }
 
-TEST(gateway_bad_input, a_flood_on_one_link_is_answered_when_to_retry) {
+TEST(gateway_bad_input, excess_requests_in_flight_are_refused_with_a_retry_time) {
   auto cluster = gateway_fleet();
-  CHECK(cluster.ok);
-  auto rows = std::vector<std::string>{R"({"op":"enrol","name":"me"})"};
+  CHECK(cluster.has_started);
+  auto lines = std::vector<std::string>{R"({"op":"enrol","name":"me"})"};
   for (auto i = 1; i <= 500; ++i)
-    rows.push_back(R"({"op":"publish","topic":"alerts/x","seq":)" + std::to_string(i) + R"(,"body":"b"})");
-  auto answers = cluster.send_lines(rows);
+    lines.push_back(R"({"op":"publish","topic":"alerts/x","seq":)" + std::to_string(i) + R"(,"body":"b"})");
+  auto answers = cluster.send_lines(lines);
   LONGS_EQUAL(501, answers.size());
   auto busy = std::count(answers.begin(), answers.end(), "refused busy later");
   auto acked = std::count(answers.begin(), answers.end(), "acked ");
@@ -128,15 +133,15 @@
   CHECK(acked >= 64);
 }
 
-TEST(gateway_bad_input, a_line_without_end_ends_the_link) {
+TEST(gateway_bad_input, a_line_over_the_size_limit_ends_the_connection) {
   auto cluster = gateway_fleet();
-  CHECK(cluster.ok);
+  CHECK(cluster.has_started);
   auto answers = cluster.send_lines({R"({"op":"enrol","name":"me"})", std::string((1 << 20) + 10, 'x')});
   CHECK(answers.size() == 2 && answers[1] == "refused too_long");
 }
 
 namespace {
-// A connection behind client_transport, as a listener makes one: requests are queued, answers kept.
+// A client_transport that takes requests from a queue and records the messages that the gateway sends.
 class recorded_client : public client_transport {
  public:
   explicit recorded_client(event_loop& loop) : loop_(loop), stream_(loop) {}
@@ -210,11 +215,11 @@
   }
 };
 }  // namespace
-TEST_GROUP(gateway_seam){};
+TEST_GROUP(gateway_connections){};
 
-TEST(gateway_seam, cursors_hold_for_any_caller_and_one_topic) {
+TEST(gateway_connections, cursors_are_valid_for_any_client_and_one_topic) {
   auto cluster = connected_fleet();
-  CHECK(cluster.ok);
+  CHECK(cluster.has_started);
   auto first = cluster.open(0, "a");
   first->request(R"({"op":"subscribe","topic":"alerts/x"})");
   cluster.run(second);
@@ -223,63 +228,63 @@
   first->request(R"({"op":"publish","topic":"alerts/x","seq":2,"body":"two"})");
   cluster.run(second);
   LONGS_EQUAL(2, first->received_of("deliver").size());
-  auto cur = get_string(first->received_of("deliver")[0], "cursor");
+  auto cursor = get_string(first->received_of("deliver")[0], "cursor");
   auto other = cluster.open(1, "b");
-  other->request((R"({"op":"subscribe","topic":"alerts/x","cursor":")" + cur + "\"}").c_str());
-  other->request((R"({"op":"subscribe","topic":"alerts/y","cursor":")" + cur + "\"}").c_str());
+  other->request((R"({"op":"subscribe","topic":"alerts/x","cursor":")" + cursor + "\"}").c_str());
+  other->request((R"({"op":"subscribe","topic":"alerts/y","cursor":")" + cursor + "\"}").c_str());
   other->request(R"({"op":"subscribe","topic":"alerts/z","cursor":"nonsense"})");
   cluster.run(second);
   LONGS_EQUAL(1, other->received_of("deliver").size());
   STRCMP_EQUAL("two", get_string(other->received_of("deliver")[0], "body").c_str());
   auto answers = other->received_of("verdict", "subscribe");
   LONGS_EQUAL(3, answers.size());
-  LONGS_EQUAL(2, std::count_if(answers.begin(), answers.end(), [](auto& t) {
-                return get_string_or(t, "code") == "gone" && get_int_or(t, "retry_ms", -1) < 0;
+  LONGS_EQUAL(2, std::count_if(answers.begin(), answers.end(), [](auto& answer) {
+                return get_string_or(answer, "code") == "gone" && get_int_or(answer, "retry_ms", -1) < 0;
               }));
 }
 
-TEST(gateway_seam, subscribers_are_counted_once_each_and_leave_the_count) {
+TEST(gateway_connections, each_subscriber_is_counted_once_until_it_disconnects) {
   auto cluster = connected_fleet();
-  CHECK(cluster.ok);
-  auto one = cluster.open(0, "a"), again = cluster.open(1, "a"), two = cluster.open(1, "b");
-  for (auto& client : {one, again, two})
+  CHECK(cluster.has_started);
+  auto first_of_a = cluster.open(0, "a"), second_of_a = cluster.open(1, "a"), client_b = cluster.open(1, "b");
+  for (auto& client : {first_of_a, second_of_a, client_b})
     client->request(R"({"op":"subscribe","topic":"alerts/x"})");
   cluster.run(second);
   auto count = [&] {
-    auto had = two->received_of("verdict", "count").size();
-    two->request(R"({"op":"count","topic":"alerts/x"})");
+    auto answers_before = client_b->received_of("verdict", "count").size();
+    client_b->request(R"({"op":"count","topic":"alerts/x"})");
     cluster.run(second / 2);
-    auto all = two->received_of("verdict", "count");
-    return all.size() == had + 1 ? get_int_or(all.back(), "count", -1) : -2;
+    auto all = client_b->received_of("verdict", "count");
+    return all.size() == answers_before + 1 ? get_int_or(all.back(), "count", -1) : -2;
   };
   LONGS_EQUAL(2, count());
-  one->close();
+  first_of_a->close();
   cluster.run(second / 2);
-  LONGS_EQUAL(2, count());  // its other connection stays
-  again->close();
+  LONGS_EQUAL(2, count());  // client a still has its other connection
+  second_of_a->close();
   cluster.run(second / 2);
   LONGS_EQUAL(1, count());
 }
 
-// An old connection lingers beside the new one of the same client: what comes late over it is neither delivered
-// twice nor out of order, and each answer goes to the connection that asked.
-TEST(gateway_seam, an_old_connection_beside_the_new_one_changes_nothing) {
+// A client that reconnects may still have an old connection with requests on it. Publishes that arrive late over the
+// old connection must not be delivered twice or out of order, and each answer must go to the connection of its request.
+TEST(gateway_connections, late_publishes_on_an_old_connection_are_not_delivered) {
   auto cluster = connected_fleet();
-  CHECK(cluster.ok);
-  auto listener = cluster.open(2, "l"), old = cluster.open(0, "a"), fresh = cluster.open(1, "a");
+  CHECK(cluster.has_started);
+  auto listener = cluster.open(2, "l"), old_connection = cluster.open(0, "a"), new_connection = cluster.open(1, "a");
   listener->request(R"({"op":"subscribe","topic":"alerts/x"})");
   cluster.run(second);
-  old->request(R"({"op":"publish","topic":"alerts/x","seq":5,"body":"five"})");
-  fresh->request(R"({"op":"publish","topic":"alerts/x","seq":5,"body":"five"})");  // it received nothing and asks again
+  old_connection->request(R"({"op":"publish","topic":"alerts/x","seq":5,"body":"five"})");
+  new_connection->request(R"({"op":"publish","topic":"alerts/x","seq":5,"body":"five"})");  // retry without an answer
   cluster.run(second);
-  fresh->request(R"({"op":"publish","topic":"alerts/x","seq":7,"body":"seven"})");
+  new_connection->request(R"({"op":"publish","topic":"alerts/x","seq":7,"body":"seven"})");
   cluster.run(second);
-  old->request(R"({"op":"publish","topic":"alerts/x","seq":6,"body":"six"})");
-  old->request(R"({"op":"publish","topic":"alerts/x","seq":5,"body":"five"})");
+  old_connection->request(R"({"op":"publish","topic":"alerts/x","seq":6,"body":"six"})");
+  old_connection->request(R"({"op":"publish","topic":"alerts/x","seq":5,"body":"five"})");
   cluster.run(second);
   auto delivered = std::string();
-  for (const auto& t : listener->received_of("deliver"))
-    delivered += get_string(t, "body") + " ";
+  for (const auto& message : listener->received_of("deliver"))
+    delivered += get_string(message, "body") + " ";
   STRCMP_EQUAL("five seven ", delivered.c_str());
   auto answers_of = [](const recorded_client& client) {
     auto out = std::string();
@@ -288,33 +293,33 @@
              (get_string(answer, "verdict") == "acked" ? "+ " : "- " + get_string_or(answer, "code") + " ");
     return out;
   };
-  CHECK(answers_of(*old) == "5+ 6- below 5+ " || answers_of(*old) == "5+ 5+ 6- below ");
-  STRCMP_EQUAL("5+ 7+ ", answers_of(*fresh).c_str());
+  CHECK(answers_of(*old_connection) == "5+ 6- below 5+ " || answers_of(*old_connection) == "5+ 5+ 6- below ");
+  STRCMP_EQUAL("5+ 7+ ", answers_of(*new_connection).c_str());
 }
 
-// No connection is closed where a machine loses its power: its clients must leave the count all the same.
-TEST(gateway_seam, subscribers_behind_a_machine_without_power_leave_the_count) {
+// A machine that loses power closes no connection. Its subscribers must still leave the count after a timeout.
+TEST(gateway_connections, subscribers_of_a_gateway_without_power_leave_the_count) {
   auto cluster = connected_fleet();
-  CHECK(cluster.ok);
-  auto gone = cluster.open(0, "a"), here = cluster.open(1, "b");
-  for (auto& client : {gone, here})
+  CHECK(cluster.has_started);
+  auto lost_client = cluster.open(0, "a"), remaining_client = cluster.open(1, "b");
+  for (auto& client : {lost_client, remaining_client})
     client->request(R"({"op":"subscribe","topic":"alerts/x"})");
   cluster.run(second);
   auto count = [&] {
-    here->request(R"({"op":"count","topic":"alerts/x"})");
+    remaining_client->request(R"({"op":"count","topic":"alerts/x"})");
     cluster.run(second / 2);
-    return get_int_or(here->received_of("verdict", "count").back(), "count", -1);
+    return get_int_or(remaining_client->received_of("verdict", "count").back(), "count", -1);
   };
   LONGS_EQUAL(2, count());
   cluster.simulated.power(cluster.simulated.processes.at(cluster.simulated.names("forager").at(0))->machine->name,
                           false);
-  cluster.run(10 * second);  // sooner than the net itself gives up on what is sent there
+  cluster.run(10 * second);  // less than the network needs to report that sending failed
   LONGS_EQUAL(1, count());
 }
 
-TEST(gateway_seam, a_leaving_node_sends_links_to_a_ready_one_and_serves_until_then) {
+TEST(gateway_connections, a_draining_gateway_redirects_its_clients_and_serves_meanwhile) {
   auto cluster = connected_fleet();
-  CHECK(cluster.ok);
+  CHECK(cluster.has_started);
   auto client = cluster.open(0, "a");
   client->request(R"({"op":"subscribe","topic":"alerts/x"})");
   cluster.run(second);
@@ -325,52 +330,52 @@
   cluster.run(second);
   LONGS_EQUAL(1, client->received_of("verdict", "publish").size());
   STRCMP_EQUAL("acked", get_string(client->received_of("verdict", "publish")[0], "verdict").c_str());
-  auto away = client->received_of("return");
-  LONGS_EQUAL(1, away.size());
+  auto redirects = client->received_of("return");
+  LONGS_EQUAL(1, redirects.size());
   auto others = cluster.simulated.names("forager");
-  CHECK(get_string_or(away[0], "to") != cluster.simulated.processes.at(others[0])->settings.http_address);
-  CHECK(std::any_of(others.begin(), others.end(), [&](auto& n) {
-    return cluster.simulated.processes.at(n)->settings.http_address == get_string_or(away[0], "to");
+  CHECK(get_string_or(redirects[0], "to") != cluster.simulated.processes.at(others[0])->settings.http_address);
+  CHECK(std::any_of(others.begin(), others.end(), [&](auto& other) {
+    return cluster.simulated.processes.at(other)->settings.http_address == get_string_or(redirects[0], "to");
   }));
 }
 
-TEST(gateway_seam, a_publish_waits_for_a_takeover_under_way_and_no_longer_than_it_can_run) {
+TEST(gateway_connections, a_publish_waits_for_a_takeover_within_its_deadline) {
   auto cluster = connected_fleet();
-  CHECK(cluster.ok);
+  CHECK(cluster.has_started);
   auto client = cluster.open(0, "a");
   cluster.run(second);
-  auto cell = cluster.node(0).session.view.partitions.at(
+  auto assignment = cluster.node(0).session.view.partitions.at(
       partition_of(*cluster.node(0).session.view.configuration->compiled()->space_of("alerts/x"), "alerts/x"));
-  cluster.simulated.kill(node_of_member(cell.primary));
+  cluster.simulated.kill(node_of_member(assignment.primary));
   client->request(R"({"op":"publish","topic":"alerts/x","seq":1,"body":"one"})");
   cluster.run(4 * second);
   auto answers = client->received_of("verdict", "publish");
   LONGS_EQUAL(1, answers.size());
   CHECK(get_string(answers[0], "verdict") == "acked" ||
-        get_string(answers[0], "verdict") == "unclear");  // unclear: it was on its way when the process died
+        get_string(answers[0], "verdict") == "unclear");  // unclear: the request was in flight when the process died
 }
 
-// All clients come back at once after a loss of power; those refused by a node that is a moment from its
-// lease would stay away for longer. Without a lease in sight they learn when to return.
-TEST(gateway_seam, a_link_to_a_starting_node_waits_for_its_first_lease_and_not_for_long) {
+// After a power loss all clients reconnect at once. If a gateway that is about to obtain its lease refused them, they
+// would return only after the retry time. Without a lease, they must be refused soon and with a retry time.
+TEST(gateway_connections, connections_to_a_starting_gateway_wait_for_its_first_lease_for_a_limited_time) {
   auto cluster = connected_fleet();
-  CHECK(cluster.ok);
-  auto who = cluster.simulated.names("forager").at(0);
-  auto again = [&] {
-    cluster.simulated.kill(who);
-    cluster.simulated.start(who);
+  CHECK(cluster.has_started);
+  auto gateway_name = cluster.simulated.names("forager").at(0);
+  auto restart_and_connect = [&] {
+    cluster.simulated.kill(gateway_name);
+    cluster.simulated.start(gateway_name);
     return cluster.open(0, "a");
   };
-  auto client = again();
+  auto client = restart_and_connect();
   cluster.run(second / 2);
   LONGS_EQUAL(1, client->received_of("verdict", "enrol").size());
   LONGS_EQUAL(0, client->received_of("verdict", "link").size());
   for (auto& control_node : cluster.simulated.names("queen"))
     cluster.simulated.kill(control_node);
   cluster.run(5 * second);
-  auto late = again();
+  auto refused_client = restart_and_connect();
   cluster.run(600 * millisecond);
-  auto answers = late->received_of("verdict", "link");
+  auto answers = refused_client->received_of("verdict", "link");
   LONGS_EQUAL(1, answers.size());
   STRCMP_EQUAL("not_ready", get_string(answers[0], "code").c_str());
   CHECK(get_int_or(answers[0], "retry_ms", -1) >= 0);
--- a/src/gateway/pages.cpp
+++ b/src/gateway/pages.cpp
@@ -1,4 +1,4 @@
-// The gateway's HTTP side: pages, single requests, and clients' connections as streams of JSON lines (design 7.4).
+// HTTP interface of the gateway: pages, single requests, and client connections as streams of JSON lines (design 7.4).
 #include "gateway/client_codec.hpp"
 #include "gateway/gateway.hpp"
 #include "gateway/http_client_transport.hpp"
@@ -6,7 +6,8 @@
 namespace reachridge {
 namespace {
 
-constexpr auto body_overhead_bytes = std::size_t{4096};  // of a publish request beside its escaped message
+constexpr auto body_overhead_bytes =
+    std::size_t{4096};  // allowance for the rest of a publish request besides its escaped message
 
 }  // namespace
 
@@ -46,20 +47,20 @@
 auto gateway::readiness_page() -> http_response {
   if (ready())
     return http_response{200, {}, "ready\n"};
-  throw request_error(errc::not_ready, leaving_ ? "leaving" : "no charter lease stands",
+  throw request_error(errc::not_ready, draining_ ? "leaving" : "no charter lease stands",
                       execution_outcome::not_executed, host_.jittered(settings_.failure_timeout) / millisecond);
 }
 
-// The messages that are kept behind a position, as the primary answers them.
+// Returns the retained messages after a position. Forwards the reply of the primary unchanged.
 auto gateway::read_page(http_request request) -> task<http_response> {
-  auto asked = client_api::decode_read(request.query);
-  auto target = resolve_route(action::read, asked.client, asked.topic, 0);
+  auto parameters = client_api::decode_read(request.query);
+  auto target = resolve_route(action::read, parameters.client, parameters.topic, 0);
   auto partition = target.partition();
   auto address = primary_address(partition);
   if (address.empty())
     throw request_error(errc::unreachable, "no primary of " + partition + " is in reach",
                         execution_outcome::not_executed, settings_.failure_timeout / millisecond);
-  auto message = storage_api::encode(storage_api::read_request{partition, target.topic, asked.after});
+  auto message = storage_api::encode(storage_api::read_request{partition, target.topic, parameters.after});
   auto reply = co_await storage_connection(address).call(std::move(message), host_.now() + settings_.request_timeout);
   co_return http_response{200, reply, {}};
 }
--- a/src/gateway/requests.cpp
+++ b/src/gateway/requests.cpp
@@ -1,4 +1,4 @@
-// Requests of clients to the gateway: dispatch, publish and count, and the way to a partition's primary (design 7.2).
+// Client requests: dispatch, publish, count, and calls to the primary of a partition (design 7.2).
 #include <algorithm>
 #include <cctype>
 
@@ -8,11 +8,11 @@
 namespace reachridge {
 namespace {
 
-constexpr auto max_in_flight = 64;  // requests of one connection that wait for their answer (design 7.4)
+constexpr auto max_in_flight = 64;  // unanswered publish and count requests per connection (design 7.4)
 constexpr auto max_client_name_bytes = std::size_t{100};
 constexpr auto invalid_client_name = "name wants 1 to 100 letters, digits, '-', '_', '.', ':'";
 
-// 1 to 100 letters, digits, '-', '_', '.', ':'.
+// Returns whether the name consists of 1 to 100 letters, digits, '-', '_', '.' and ':'.
 auto is_client_name(const std::string& name) -> bool {
   if (name.empty() || name.size() > max_client_name_bytes)
     return false;
@@ -21,8 +21,8 @@
   });
 }
 
-auto needs_enrolment(client_api::operation asked) -> bool {
-  switch (asked) {
+auto needs_enrolment(client_api::operation requested_operation) -> bool {
+  switch (requested_operation) {
     case client_api::operation::enrol:
     case client_api::operation::heartbeat:
     case client_api::operation::unreadable:
@@ -32,7 +32,7 @@
   }
 }
 
-// Whether the same request may go to a primary again: it did not run, and another primary may take it.
+// Returns whether a request may be sent again: it was not executed, and a primary may accept it later.
 auto is_retryable(const request_error& error) -> bool {
   if (error.outcome != execution_outcome::not_executed)
     return false;
@@ -41,24 +41,24 @@
 
 }  // namespace
 
-// A request that fails at once is answered here; the others answer when they end.
+// Answers requests that fail before they are sent. The other requests answer when they finish.
 auto gateway::handle_request(const client_ptr& client, const value& request) -> void {
   auto operation_name = std::string();
   try {
     operation_name = client_api::operation_name(request);
     dispatch(client, operation_name, request);
   } catch (const request_error& error) {
-    ++refused_;
+    ++refused_requests_;
     send(client, client_api::encode_request_error(error, operation_name, client_api::decode_echoed_fields(request)));
   }
 }
 
 auto gateway::dispatch(const client_ptr& client, const std::string& operation_name, const value& request) -> void {
   using client_api::operation;
-  const auto asked = client_api::parse_operation(operation_name);
-  if (needs_enrolment(asked) && client->name.empty())
+  const auto requested_operation = client_api::parse_operation(operation_name);
+  if (needs_enrolment(requested_operation) && client->name.empty())
     throw request_error(errc::malformed, "enrol first");
-  switch (asked) {
+  switch (requested_operation) {
     case operation::heartbeat:
       return client_api::check_heartbeat(request);
     case operation::unreadable:
@@ -93,10 +93,11 @@
   send(client, client_api::encode_enrolled(client->name, settings_.name));
 }
 
-// Counts a request that is answered later; `requests` says in the error what there are too many of.
-auto gateway::begin_request(const client_ptr& client, const char* requests) -> void {
+// Registers a request that is answered later. Throws request_error (errc::busy) if too many requests are in flight;
+// `request_kind` names them in the error text.
+auto gateway::begin_request(const client_ptr& client, const char* request_kind) -> void {
   if (client->in_flight >= max_in_flight)
-    throw request_error(errc::busy, std::string("too many ") + requests + " of this link wait",
+    throw request_error(errc::busy, std::string("too many ") + request_kind + " of this link wait",
                         execution_outcome::not_executed, settings_.heartbeat_interval / millisecond);
   ++client->in_flight;
 }
@@ -107,16 +108,16 @@
   try {
     auto result = co_await send_publish(client->name, std::move(request));
     answer = client_api::encode_published(result, echoed);
-    ++acked_;
+    ++acknowledged_publishes_;
   } catch (const request_error& error) {
     answer = client_api::encode_publish_error(error, echoed);
-    ++(error.outcome == execution_outcome::not_executed ? refused_ : unclear_);
+    ++(error.outcome == execution_outcome::not_executed ? refused_requests_ : unclear_publishes_);
   }
   --client->in_flight;
   send(client, answer);
 }
 
-// Answers how many clients are subscribed to a topic.
+// Answers with the number of clients that are subscribed to a topic.
 auto gateway::count_subscribers(client_ptr client, client_api::count_request request, client_api::echoed_fields echoed)
     -> task<void> {
   auto answer = object();
@@ -134,7 +135,7 @@
   send(client, answer);
 }
 
-// Checks a publish, passes it to the primary and waits for its answer; throws request_error.
+// Validates a publish request, sends it to the primary and returns the result. Throws request_error.
 auto gateway::send_publish(std::string client_name, client_api::publish_request request)
     -> task<client_api::publish_result> {
   if (!is_client_name(client_name))
@@ -154,15 +155,16 @@
   co_return client_api::publish_result{request.topic, request.sequence, reply.position, reply.repeated};
 }
 
-// The request's way through the rules of the newest configuration; throws request_error where it ends.
-auto gateway::resolve_route(action asked, const std::string& client_name, const std::string& topic, std::size_t bytes)
-    -> route {
+// Applies the rules of the newest configuration to a request. Throws request_error if the gateway may not serve, the
+// topic is invalid, the rules deny the request, or no space contains the topic.
+auto gateway::resolve_route(action requested_action, const std::string& client_name, const std::string& topic,
+                            std::size_t bytes) -> route {
   if (!session.may_serve() || !session.is_synchronized())
     throw request_error(errc::no_lease, "no charter lease stands here", execution_outcome::not_executed,
                         host_.jittered(settings_.failure_timeout) / millisecond);
   if (!is_topic(topic))
     throw request_error(errc::malformed, "'" + topic + "' is no topic");
-  const auto decision = rules().decide(asked, client_name, topic, bytes);
+  const auto decision = rules().decide(requested_action, client_name, topic, bytes);
   if (!decision.allowed)
     throw request_error(errc::permission_denied, decision.reason);
   const auto* space = is_topic(decision.topic) ? rules().space_of(decision.topic) : nullptr;
@@ -171,28 +173,31 @@
   return {decision.topic, *space};
 }
 
-// Until when a request may wait for a primary that is not there: a client that is refused at once asks again, and one
-// that was held long without being served was held for nothing.
-auto gateway::primary_wait_end(const space& topics) const -> monotonic_time {
-  const auto wait = topics.target_ms > 0 ? topics.target_ms * millisecond / 5 : settings_.failure_timeout * 2;
+// Returns the time until which a request may wait for an unavailable primary. The wait is short because a client that
+// is refused early can retry, while a request that waits long and then fails has only delayed the retry.
+auto gateway::primary_wait_end(const space& target_space) const -> monotonic_time {
+  const auto wait =
+      target_space.target_ms > 0 ? target_space.target_ms * millisecond / 5 : settings_.failure_timeout * 2;
   return host_.now() + wait;
 }
 
-// Until when the primary may take to answer: half of the space's timeout, if it has one.
-auto gateway::request_deadline(const space& topics, monotonic_time default_timeout) const -> monotonic_time {
-  return host_.now() + (topics.timeout_ms > 0 ? topics.timeout_ms * millisecond / 2 : default_timeout);
+// Returns the time by which the primary must answer: after half of the timeout of the space, or after `default_timeout`
+// if the space has none.
+auto gateway::request_deadline(const space& target_space, monotonic_time default_timeout) const -> monotonic_time {
+  return host_.now() + (target_space.timeout_ms > 0 ? target_space.timeout_ms * millisecond / 2 : default_timeout);
 }
 
-// Asks the partition's primary. While a takeover is under way it waits for the new one until `wait_until`, so that the
-// request can still run in its time; nothing is held back for any other reason (design 7.2).
+// Sends a request to the primary of the partition and returns its reply. If no primary accepts the request, waits for
+// one until `wait_until`, so that the request can still succeed after a takeover. Requests are not delayed for any
+// other reason (design 7.2). Throws request_error.
 auto gateway::call_primary(std::string partition, value request, monotonic_time wait_until, monotonic_time deadline)
     -> task<value> {
   const auto retry_after_ms = host_.jittered(settings_.failure_timeout / 4) / millisecond;
-  auto rejected_by = std::string();  // the address that answered that it is not the primary
+  auto rejected_by = std::string();  // address of the node that answered errc::not_primary
   while (true) {
     auto failure = request_error(errc::unreachable, "no primary of " + partition + " is in reach",
                                  execution_outcome::not_executed, retry_after_ms);
-    const auto address = primary_to_ask(partition, rejected_by);
+    const auto address = usable_primary_address(partition, rejected_by);
     try {
       if (auto reply = co_await call_if_connected(address, request, deadline))
         co_return std::move(*reply);
@@ -205,20 +210,21 @@
     }
     if (host_.now() >= wait_until)
       throw failure;
-    const auto may_ask_again = co_await wait_for_primary(partition, rejected_by, wait_until);
-    if (may_ask_again)
+    const auto may_retry_any_primary = co_await wait_for_primary(partition, rejected_by, wait_until);
+    if (may_retry_any_primary)
       rejected_by.clear();
   }
 }
 
-// Empty: none is known but the one that has just answered that it is not the primary.
-auto gateway::primary_to_ask(const std::string& partition, const std::string& rejected_by) const -> std::string {
+// Returns the address of the primary; empty if no primary is known or if its address is `rejected_by`.
+auto gateway::usable_primary_address(const std::string& partition, const std::string& rejected_by) const
+    -> std::string {
   auto address = primary_address(partition);
   return address == rejected_by ? "" : address;
 }
 
-// Waits for a change of the view, at most half a heartbeat interval. Returns whether any primary may be asked: another
-// one is known, or the time has passed.
+// Waits until the session changes, but at most half a heartbeat interval and not beyond `wait_until`. Returns whether
+// any primary may be called: the primary is no longer `rejected_by`, or the time has passed.
 auto gateway::wait_for_primary(std::string partition, std::string rejected_by, monotonic_time wait_until)
     -> task<bool> {
   const auto retry_at = std::min(wait_until, host_.now() + settings_.heartbeat_interval / 2);
@@ -226,7 +232,8 @@
   co_return primary_address(partition) != rejected_by || host_.now() >= retry_at;
 }
 
-// None: there is no address or no connection now, so nothing was sent. Throws the storage node's error.
+// Returns nothing if the address is empty or the node is not connected; in that case the request was not sent. Throws
+// the error of the storage node.
 auto gateway::call_if_connected(std::string address, value request, monotonic_time deadline)
     -> task<std::optional<value>> {
   if (address.empty())
--- a/src/gateway/subscription_table.cpp
+++ b/src/gateway/subscription_table.cpp
@@ -14,52 +14,53 @@
   sent_at = now;
 }
 
-auto subscription::lose_primary() -> void {
+auto subscription::detach_from_primary() -> void {
   open = false;
   storage_address.clear();
 }
 
 auto subscription::accept(std::int64_t position) -> bool {
-  // A takeover repeats outputs: the repeated ones end here.
+  // After a takeover the new primary repeats messages. Drop those that were already delivered.
   if (position <= last_position)
     return false;
-  // Between two openings messages were missed: one that still comes of the older opening would hide them.
+  // Messages may have been missed since the previous opening. Accepting a late message of the previous opening would
+  // raise last_position and suppress them.
   if (!open)
     return false;
   last_position = position;
   return true;
 }
 
-auto subscription_table::add(subscription added) -> rows::value_type& {
+auto subscription_table::add(subscription added) -> entries::value_type& {
   auto id = id_prefix_ + std::to_string(++last_number_);
-  return *rows_.insert_or_assign(std::move(id), std::move(added)).first;
+  return *entries_.insert_or_assign(std::move(id), std::move(added)).first;
 }
 
 auto subscription_table::find(const std::string& id) -> subscription* {
-  const auto found = rows_.find(id);
-  return found == rows_.end() ? nullptr : &found->second;
+  const auto found = entries_.find(id);
+  return found == entries_.end() ? nullptr : &found->second;
 }
 
-auto subscription_table::find_at(const std::string& id, const std::string& primary_address) -> subscription* {
+auto subscription_table::find_at_primary(const std::string& id, const std::string& primary_address) -> subscription* {
   auto* found = find(id);
   return found && found->storage_address == primary_address ? found : nullptr;
 }
 
-auto subscription_table::lose_primaries_at(const std::string& address) -> void {
-  for (auto& [id, one] : rows_)
-    if (one.storage_address == address)
-      one.lose_primary();
+auto subscription_table::detach_from_node(const std::string& address) -> void {
+  for (auto& [id, entry] : entries_)
+    if (entry.storage_address == address)
+      entry.detach_from_primary();
 }
 
-auto subscription_table::lose_partition(const std::string& partition, const std::string& primary_address) -> void {
-  for (auto& [id, one] : rows_)
-    if (one.partition == partition && one.storage_address == primary_address)
-      one.lose_primary();
+auto subscription_table::detach_partition(const std::string& partition, const std::string& primary_address) -> void {
+  for (auto& [id, entry] : entries_)
+    if (entry.partition == partition && entry.storage_address == primary_address)
+      entry.detach_from_primary();
 }
 
 auto subscription_table::open_count() const -> std::size_t {
-  return static_cast<std::size_t>(std::count_if(rows_.begin(), rows_.end(), [](const auto& row) {
-    return row.second.open;
+  return static_cast<std::size_t>(std::count_if(entries_.begin(), entries_.end(), [](const auto& entry) {
+    return entry.second.open;
   }));
 }
 
--- a/src/gateway/subscription_table.hpp
+++ b/src/gateway/subscription_table.hpp
@@ -1,4 +1,4 @@
-// The subscriptions that a gateway holds for its clients, and how far each has got (design 7.3).
+// The gateway's subscriptions for its clients and the last position that each has delivered (design 7.3).
 #pragma once
 #include <cstdint>
 #include <map>
@@ -11,67 +11,70 @@
 
 // One client's subscription to one topic.
 //
-// Invariants: positions delivered only rise; messages are taken only between the answer to the newest opening and
-// the loss of its primary (`open`), so that a message of an earlier opening never hides one that is still to come.
+// An opening is a subscription at one primary from the subscribe message until the primary is lost. Invariants:
+// delivered positions only increase. The subscription accepts messages only while it is `open`, from the confirmation
+// of the newest opening until the loss of its primary. A late message of an earlier opening has a higher position than
+// messages that were missed between the openings; accepting it would suppress them.
 struct subscription {
-  std::string requested_topic;      // as the client named it
-  std::string topic;                // after routing
-  std::string partition;            // that holds the topic
-  std::string storage_address;      // of the primary that it was sent to; empty: of none
-  std::int64_t last_position = -1;  // delivered last; -1: the primary has not named one yet
-  std::int64_t epoch = 0;           // of the partition when it was sent
-  std::int64_t opening = 0;         // openings so far; answers to an earlier one do not count
+  std::string requested_topic;      // as the client named the topic
+  std::string topic;                // after rewriting by the configuration
+  std::string partition;            // contains the topic
+  std::string storage_address;      // primary of the newest opening; empty: none
+  std::int64_t last_position = -1;  // last position delivered; -1: none known yet
+  std::int64_t epoch = 0;           // epoch of the partition at the newest opening
+  std::int64_t opening = 0;         // number of the newest opening; replies to earlier ones are ignored
   bool open = false;                // the primary has confirmed the newest opening
-  bool notified = false;            // the client knows that it was accepted
-  monotonic_time sent_at = 0;       // when it was last sent to a primary, or refused by one
+  bool client_notified = false;     // the gateway has sent the confirmation to the client
+  monotonic_time sent_at = 0;       // last subscribe message or last refusal by a former primary
   client_ptr client;
 
-  // Counts as a new opening if the primary is another one, else as a retry of the same.
+  // Records that a subscribe message is sent to a primary. Starts a new opening if the primary differs from the one of
+  // the newest opening. Otherwise the message retries that opening.
   auto begin_opening(const std::string& primary_address, std::int64_t partition_epoch, monotonic_time now) -> void;
-  // The connection to its primary, or the primary itself, is gone.
-  auto lose_primary() -> void;
-  // Whether the message at this position is to be delivered; if so it counts as delivered.
+  // Closes the subscription after its primary, or the connection to it, was lost.
+  auto detach_from_primary() -> void;
+  // Returns whether the message at this position must be delivered to the client, and if so records it as delivered.
   auto accept(std::int64_t position) -> bool;
 };
 
-// Owns the subscriptions under ids that no other run of this or another gateway uses.
+// Owns the subscriptions of a gateway. Their ids are unique among all gateways and all runs of a gateway.
 class subscription_table {
  public:
-  using rows = std::map<std::string, subscription>;
+  using entries = std::map<std::string, subscription>;
 
-  // `id_prefix` sets this run of this gateway apart.
+  // `id_prefix`: unique to this run of this gateway.
   explicit subscription_table(std::string id_prefix) : id_prefix_(std::move(id_prefix)) {}
 
-  // Takes it in under a new id.
-  auto add(subscription added) -> rows::value_type&;
+  // Adds a subscription under a new id and returns its entry.
+  auto add(subscription added) -> entries::value_type&;
   auto erase(const std::string& id) -> void {
-    rows_.erase(id);
+    entries_.erase(id);
   }
-  // None: not held.
+  // Returns null if no subscription has this id.
   auto find(const std::string& id) -> subscription*;
-  // None: not held, or not sent to this primary.
-  auto find_at(const std::string& id, const std::string& primary_address) -> subscription*;
+  // Returns null if no subscription has this id, or if its newest opening is at another primary.
+  auto find_at_primary(const std::string& id, const std::string& primary_address) -> subscription*;
 
-  // The connection to a storage node is lost.
-  auto lose_primaries_at(const std::string& address) -> void;
-  // A storage node leads a partition no more.
-  auto lose_partition(const std::string& partition, const std::string& primary_address) -> void;
+  // Closes the subscriptions at a storage node after the connection to that node was lost.
+  auto detach_from_node(const std::string& address) -> void;
+  // Closes the subscriptions to a partition at a storage node that is no longer its primary.
+  auto detach_partition(const std::string& partition, const std::string& primary_address) -> void;
 
   [[nodiscard]] auto size() const -> std::size_t {
-    return rows_.size();
+    return entries_.size();
   }
   [[nodiscard]] auto open_count() const -> std::size_t;
-  auto begin() -> rows::iterator {
-    return rows_.begin();
+  auto begin() -> entries::iterator {
+    return entries_.begin();
   }
-  auto end() -> rows::iterator {
-    return rows_.end();
+  auto end() -> entries::iterator {
+    return entries_.end();
   }
 
  private:
   std::string id_prefix_;
   std::int64_t last_number_ = 0;
-  rows rows_;
+  entries entries_;
 };
 
 }  // namespace reachridge
--- a/src/gateway/subscriptions.cpp
+++ b/src/gateway/subscriptions.cpp
@@ -1,5 +1,5 @@
-// Subscriptions of the gateway: kept open at the present primary of their partition, their messages passed on to the
-// clients (design 7.3).
+// Subscriptions of the gateway. The gateway keeps each subscription open at the current primary of its partition and
+// forwards the messages to the client (design 7.3).
 #include <utility>
 #include <vector>
 
@@ -9,10 +9,10 @@
 
 namespace reachridge {
 
-auto gateway::cursor_for(const subscription& held, std::int64_t position) const -> std::optional<std::string> {
-  if (!held.client->transport->wants_cursors())
+auto gateway::cursor_for(const subscription& entry, std::int64_t position) const -> std::optional<std::string> {
+  if (!entry.client->transport->wants_cursors())
     return {};
-  return write_cursor(held.topic, held.partition, position);
+  return encode_cursor(entry.topic, entry.partition, position);
 }
 
 auto gateway::subscribe(const client_ptr& client, client_api::subscribe_request request) -> void {
@@ -30,14 +30,14 @@
   if (request.after)
     added.last_position = *request.after;
   if (request.cursor) {
-    const auto position = read_cursor(*request.cursor, added.topic, added.partition);
+    const auto position = decode_cursor(*request.cursor, added.topic, added.partition);
     if (!position)
       throw request_error(errc::position_expired, "that cursor is no place on this topic");
     added.last_position = *position;
   }
-  auto& [id, held] = subscriptions_.add(std::move(added));
+  auto& [id, entry] = subscriptions_.add(std::move(added));
   client->subscriptions[request.topic] = id;
-  open_subscription(id, held);
+  open_subscription(id, entry);
 }
 
 auto gateway::unsubscribe(const client_ptr& client, const client_api::unsubscribe_request& request) -> void {
@@ -59,58 +59,59 @@
   subscriptions_.erase(id);
 }
 
-// Sends it to the partition's primary, if one is known and connected.
-auto gateway::open_subscription(const std::string& id, subscription& opened) -> void {
-  const auto assignment = session.view.partitions.find(opened.partition);
-  const auto address = primary_address(opened.partition);
+// Sends the subscription to the primary of its partition, if the primary is known and connected.
+auto gateway::open_subscription(const std::string& id, subscription& entry) -> void {
+  const auto assignment = session.view.partitions.find(entry.partition);
+  const auto address = primary_address(entry.partition);
   if (address.empty() || assignment == session.view.partitions.end())
     return;
   auto& connection = storage_connection(address);
   if (!connection.is_up())
     return;
-  opened.begin_opening(address, assignment->second.epoch, host_.now());
+  entry.begin_opening(address, assignment->second.epoch, host_.now());
   connection.send(storage_api::encode(storage_api::subscribe_message{
-      opened.partition, id, opened.topic, opened.client->name, opened.last_position, opened.opening}));
+      entry.partition, id, entry.topic, entry.client->name, entry.last_position, entry.opening}));
 }
 
-// Keeps every subscription open at the partition's present primary, from its last position on. Wakes when the view
-// changes; by the clock at short intervals only while one is not open.
+// Keeps every subscription open at the current primary of its partition, resuming after the last delivered position.
+// Runs when the session changes and periodically; the period is short only while a subscription is not open.
 auto gateway::maintain_subscriptions() -> task<void> {
   auto pending = false;
   while (true) {
     const auto interval = pending ? settings_.heartbeat_interval / 2 : settings_.failure_timeout;
     co_await session.changed.wait(host_, host_.now() + interval);
-    served_once_ = served_once_ || is_serving();
-    end_subscriptions_denied();
+    has_served_ = has_served_ || is_serving();
+    end_denied_subscriptions();
     connect_to_storage_nodes();
     pending = reopen_subscriptions();
   }
 }
 
-// Ends, once for each new configuration, what it does not allow any more or has moved to another pool.
-auto gateway::end_subscriptions_denied() -> void {
+// Checks all subscriptions once per new configuration. Ends the subscriptions that the configuration no longer allows
+// or whose topic it has moved to another pool.
+auto gateway::end_denied_subscriptions() -> void {
   const auto& configuration = session.view.configuration;
   if (!configuration || configuration->number == subscriptions_checked_version_)
     return;
   subscriptions_checked_version_ = configuration->number;
   auto ended = std::vector<std::pair<std::string, errc>>();
-  for (const auto& [id, held] : subscriptions_) {
-    const auto decision = rules().decide(action::subscribe, held.client->name, held.requested_topic, 0);
-    const auto same_topic = decision.allowed && decision.topic == held.topic;
+  for (const auto& [id, entry] : subscriptions_) {
+    const auto decision = rules().decide(action::subscribe, entry.client->name, entry.requested_topic, 0);
+    const auto same_topic = decision.allowed && decision.topic == entry.topic;
     const auto* space = same_topic ? rules().space_of(decision.topic) : nullptr;
     if (!space)
       ended.emplace_back(id, errc::permission_denied);
-    else if (partition_of(*space, held.topic) != held.partition)
-      ended.emplace_back(id, errc::position_expired);  // another space holds the topic now
+    else if (partition_of(*space, entry.topic) != entry.partition)
+      ended.emplace_back(id, errc::position_expired);  // another space contains the topic now
   }
   for (const auto& [id, code] : ended) {
-    const auto* held = subscriptions_.find(id);
-    send(held->client, client_api::encode_subscription_ended({held->requested_topic, code, held->last_position}));
+    const auto* entry = subscriptions_.find(id);
+    send(entry->client, client_api::encode_subscription_ended({entry->requested_topic, code, entry->last_position}));
     end_subscription(id, true);
   }
 }
 
-// So that connections exist before they are needed.
+// Connects to all storage nodes before the connections are needed.
 auto gateway::connect_to_storage_nodes() -> void {
   for (const auto& [control_node, table] : session.view.session_tables)
     for (const auto& [name, node] : table.rows)
@@ -118,34 +119,35 @@
         storage_connection(node.address);
 }
 
-// Returns whether any subscription is not open at its present primary.
+// Returns whether any subscription was not open at the current primary of its partition.
 auto gateway::reopen_subscriptions() -> bool {
   auto pending = false;
-  for (auto& [id, held] : subscriptions_) {
-    const auto assignment = session.view.partitions.find(held.partition);
+  for (auto& [id, entry] : subscriptions_) {
+    const auto assignment = session.view.partitions.find(entry.partition);
     if (assignment == session.view.partitions.end()) {
       pending = true;
       continue;
     }
     const auto primary_moved =
-        assignment->second.epoch != held.epoch && primary_address(held.partition) != held.storage_address;
-    if (held.open && !primary_moved && !held.storage_address.empty())
+        assignment->second.epoch != entry.epoch && primary_address(entry.partition) != entry.storage_address;
+    if (entry.open && !primary_moved && !entry.storage_address.empty())
       continue;
     pending = true;
-    reopen_if_due(id, held, primary_moved);
+    reopen_if_due(id, entry, primary_moved);
   }
   return pending;
 }
 
-auto gateway::reopen_if_due(const std::string& id, subscription& one, bool primary_moved) -> void {
+auto gateway::reopen_if_due(const std::string& id, subscription& entry, bool primary_moved) -> void {
   const auto retry_interval =
-      one.storage_address.empty() ? settings_.heartbeat_interval / 2 : settings_.request_timeout;
-  if (!primary_moved && host_.now() - one.sent_at < retry_interval)
+      entry.storage_address.empty() ? settings_.heartbeat_interval / 2 : settings_.request_timeout;
+  if (!primary_moved && host_.now() - entry.sent_at < retry_interval)
     return;
-  // Messages may have been missed since it was open: that makes it a new opening, not a retry.
-  if (one.open)
-    one.lose_primary();
-  open_subscription(id, one);
+  // Messages may have been missed since the subscription was open, so the next message must start a new opening instead
+  // of retrying the previous one.
+  if (entry.open)
+    entry.detach_from_primary();
+  open_subscription(id, entry);
 }
 
 auto gateway::on_notification(const std::string& address, const value& message) -> void {
@@ -155,7 +157,7 @@
     case storage_api::notification::subscribe_reply:
       return on_subscribe_reply(address, storage_api::decode_subscribe_reply(message));
     case storage_api::notification::partition_moved:
-      subscriptions_.lose_partition(storage_api::decode_partition_moved(message).partition, address);
+      subscriptions_.detach_partition(storage_api::decode_partition_moved(message).partition, address);
       return session.changed.wake();
     case storage_api::notification::unknown:
       return;
@@ -164,47 +166,47 @@
 
 auto gateway::on_delivery(const std::string& address, const storage_api::delivery& message) -> void {
   for (const auto& id : message.subscriptions) {
-    auto* held = subscriptions_.find_at(id, address);
-    if (!held || !held->accept(message.position))
+    auto* entry = subscriptions_.find_at_primary(id, address);
+    if (!entry || !entry->accept(message.position))
       continue;
-    ++delivered_;
-    send(held->client,
-         client_api::encode_delivery({held->requested_topic, message.position, message.sender, message.sequence,
-                                      message.body, message.published_at, cursor_for(*held, message.position)}));
+    ++delivered_messages_;
+    send(entry->client,
+         client_api::encode_delivery({entry->requested_topic, message.position, message.sender, message.sequence,
+                                      message.body, message.published_at, cursor_for(*entry, message.position)}));
   }
 }
 
 auto gateway::on_subscribe_reply(const std::string& address, const storage_api::subscribe_reply& reply) -> void {
-  auto* held = subscriptions_.find_at(reply.subscription, address);
-  if (!held)
+  auto* entry = subscriptions_.find_at_primary(reply.subscription, address);
+  if (!entry)
     return;
-  // The answer to an earlier opening.
-  if (reply.opening.value_or(held->opening) != held->opening)
+  // Ignore the reply to an earlier opening.
+  if (reply.opening.value_or(entry->opening) != entry->opening)
     return;
   if (reply.accepted)
-    return on_subscription_accepted(*held, reply);
+    return on_subscription_accepted(*entry, reply);
   if (reply.code == errc::not_primary) {
-    held->storage_address.clear();
-    held->sent_at = host_.now();
+    entry->storage_address.clear();
+    entry->sent_at = host_.now();
     return;
   }
   const auto* reason =
       reply.code == errc::position_expired ? "what it lacks has expired" : "that position was never given out";
   const auto error = request_error(reply.code, reason);
-  send(held->client,
-       client_api::encode_subscription_refused({error, held->requested_topic, reply.position, held->notified}));
+  send(entry->client, client_api::encode_subscription_refused(
+                          {error, entry->requested_topic, reply.position, entry->client_notified}));
   end_subscription(reply.subscription, false);
 }
 
-auto gateway::on_subscription_accepted(subscription& accepted, const storage_api::subscribe_reply& reply) -> void {
-  accepted.open = true;
-  if (accepted.last_position < 0)
-    accepted.last_position = reply.position.value_or(-1);
-  if (accepted.notified)
+auto gateway::on_subscription_accepted(subscription& entry, const storage_api::subscribe_reply& reply) -> void {
+  entry.open = true;
+  if (entry.last_position < 0)
+    entry.last_position = reply.position.value_or(-1);
+  if (entry.client_notified)
     return;
-  accepted.notified = true;
-  send(accepted.client, client_api::encode_subscribed({accepted.requested_topic, accepted.last_position,
-                                                       cursor_for(accepted, accepted.last_position)}));
+  entry.client_notified = true;
+  send(entry.client, client_api::encode_subscribed(
+                         {entry.requested_topic, entry.last_position, cursor_for(entry, entry.last_position)}));
 }
 
 }  // namespace reachridge
