--- a/src/gateway/client_codec.cpp
+++ b/src/gateway/client_codec.cpp
@@ -35,19 +35,19 @@
 
 auto require_topic(const value& request) -> std::string {
   if (!get_value(request, "topic").is_string())
-    throw malformed("topic is missing");
+    throw malformed("topic is missing or not a string");
   return get_string(request, "topic");
 }
 
 auto require_sequence(const value& request) -> std::int64_t {
   if (!get_value(request, "seq").is_int64())
-    throw malformed("seq is missing or no whole number");
+    throw malformed("seq is missing or not a whole number");
   return get_int(request, "seq");
 }
 
 auto require_string(const value& request, const std::string& field) -> std::string {
   if (!get_value(request, field).is_string())
-    throw malformed(field + " is missing or no string");
+    throw malformed(field + " is missing or not a string");
   return get_string(request, field);
 }
 
@@ -79,9 +79,9 @@
 
 auto operation_name(const value& request) -> std::string {
   if (!request.is_object())
-    throw malformed("a line that is no JSON object");
+    throw malformed("the line is not a JSON object");
   if (!get_value(request, "op").is_string())
-    throw malformed("op is missing");
+    throw malformed("op is missing or not a string");
   return get_string(request, "op");
 }
 
@@ -121,16 +121,16 @@
   out.topic = require_topic(request);
   const auto& cursor = get_value(request, "cursor");
   if (!cursor.is_null() && !cursor.is_string())
-    throw malformed("cursor wants a string");
+    throw malformed("cursor must be a string");
   if (cursor.is_string())
     out.cursor = std::string(cursor.get_string());
   const auto& after = get_value(request, "after");
   if (after.is_null())
     return out;
   if (out.cursor)
-    throw malformed("after stands beside cursor");
+    throw malformed("after and cursor must not be given together");
   if (!after.is_int64() || after.get_int64() < 0)
-    throw malformed("after wants a position");
+    throw malformed("after must be a position of at least 0");
   out.after = after.get_int64();
   return out;
 }
@@ -149,7 +149,7 @@
   auto parse_error = boost::json::error_code();
   const auto request = boost::json::parse(body, parse_error);
   if (parse_error || !request.is_object())
-    throw malformed("the body is no JSON object");
+    throw malformed("the request body is not a JSON object");
   check_fields(request, {"name", "topic", "seq", "body"});
   auto out = single_publish_request();
   out.client = require_string(request, "name");
@@ -169,7 +169,7 @@
     if (query.count("after"))
       out.after = std::stoll(query.at("after"));
   } catch (const std::exception&) {
-    throw malformed("after wants a position");
+    throw malformed("after must be a whole number");
   }
   out.client = parameter("name");
   out.topic = parameter("topic");
@@ -257,7 +257,7 @@
                 {"for", "subscribe"},
                 {"verdict", "refused"},
                 {"code", to_string(ended.code)},
-                {"why", "a newer charter ends it"},
+                {"why", "a newer configuration ended the subscription"},
                 {"topic", ended.topic},
                 {"pos", ended.position}};
 }
--- a/src/gateway/client_codec_test.cpp
+++ b/src/gateway/client_codec_test.cpp
@@ -40,18 +40,20 @@
 }
 
 TEST(client_codec, decode_errors_name_the_invalid_field) {
-  STRCMP_EQUAL("malformed: a line that is no JSON object", error_of(operation_name, "[]").c_str());
-  STRCMP_EQUAL("malformed: op is missing", error_of(operation_name, R"({"op":1})").c_str());
+  STRCMP_EQUAL("malformed: the line is not a JSON object", error_of(operation_name, "[]").c_str());
+  STRCMP_EQUAL("malformed: op is missing or not a string", error_of(operation_name, R"({"op":1})").c_str());
   STRCMP_EQUAL("malformed: unknown field 'colour'", error_of(decode_count, R"({"topic":"a","colour":1})").c_str());
-  STRCMP_EQUAL("malformed: topic is missing", error_of(decode_unsubscribe, R"({"topic":2})").c_str());
-  STRCMP_EQUAL("malformed: seq is missing or no whole number",
+  STRCMP_EQUAL("malformed: topic is missing or not a string", error_of(decode_unsubscribe, R"({"topic":2})").c_str());
+  STRCMP_EQUAL("malformed: seq is missing or not a whole number",
                error_of(decode_publish, R"({"topic":"a","seq":"1","body":"b"})").c_str());
-  STRCMP_EQUAL("malformed: body is missing or no string", error_of(decode_publish, R"({"topic":"a","seq":1})").c_str());
-  STRCMP_EQUAL("malformed: cursor wants a string",
+  STRCMP_EQUAL("malformed: body is missing or not a string",
+               error_of(decode_publish, R"({"topic":"a","seq":1})").c_str());
+  STRCMP_EQUAL("malformed: cursor must be a string",
                error_of(decode_subscribe, R"({"topic":"a","cursor":1,"after":1})").c_str());
-  STRCMP_EQUAL("malformed: after stands beside cursor",
+  STRCMP_EQUAL("malformed: after and cursor must not be given together",
                error_of(decode_subscribe, R"({"topic":"a","cursor":"1.z","after":-1})").c_str());
-  STRCMP_EQUAL("malformed: after wants a position", error_of(decode_subscribe, R"({"topic":"a","after":-1})").c_str());
+  STRCMP_EQUAL("malformed: after must be a position of at least 0",
+               error_of(decode_subscribe, R"({"topic":"a","after":-1})").c_str());
 }
 
 TEST(client_codec, answers_have_the_documented_fields_in_order) {
@@ -74,7 +76,7 @@
   check_json(R"({"op":"deliver","topic":"a/x","pos":4,"from":"me","seq":7,"body":"text","at":99})",
              encode_delivery({"a/x", 4, "me", 7, "text", 99, {}}));
   check_json(
-      R"({"op":"ended","for":"subscribe","verdict":"refused","code":"gone","why":"a newer charter ends it","topic":"a/x","pos":4})",
+      R"({"op":"ended","for":"subscribe","verdict":"refused","code":"gone","why":"a newer configuration ended the subscription","topic":"a/x","pos":4})",
       encode_subscription_ended({"a/x", errc::position_expired, 4}));
   check_json(
       R"({"verdict":"refused","code":"gone","why":"expired","op":"verdict","for":"subscribe","topic":"a/x","pos":4})",
--- a/src/gateway/client_service.cpp
+++ b/src/gateway/client_service.cpp
@@ -35,7 +35,7 @@
 auto gateway::refuse_connection(client_ptr client) -> task<void> {
   auto first = co_await client->transport->next(host_.now() + settings_.failure_timeout);
   const auto error =
-      request_error(has_served_ ? errc::busy : errc::not_ready, "this node takes no links now",
+      request_error(has_served_ ? errc::busy : errc::not_ready, "the gateway accepts no client connections at present",
                     execution_outcome::not_executed, host_.jittered(settings_.failure_timeout) / millisecond);
   if (first)
     send(client, client_api::encode_connection_error(error));
@@ -87,7 +87,8 @@
   const auto unsent_limit = static_cast<std::size_t>(settings_.buffer_bytes) / unsent_limit_divisor;
   if (client->transport->stream().unsent_bytes() > unsent_limit) {
     client->closed = true;  // the client reads too slowly; it can reconnect and resume by position
-    reachridge::log(log_level::info, settings_.name, "connection of slow reader " + client->name + " is closed");
+    reachridge::log(log_level::info, settings_.name,
+                    "closed connection of client '" + client->name + "': too many unsent bytes");
     client->transport->stream().close();
     return;
   }
@@ -124,7 +125,7 @@
   const auto end = std::min(limit, start + settings_.drain_time);
   const auto redirects_end = start + (end - start) / 2;
   reachridge::log(log_level::info, settings_.name,
-                  "draining: " + std::to_string(clients_.size()) + " connections are redirected");
+                  "drain started: redirecting " + std::to_string(clients_.size()) + " client connections");
   last_client_before_drain_ = last_client_id_;
   redirect_count_ = host_.random_below(redirect_start_bound);
   while (host_.now() < end && !clients_.empty()) {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -31,7 +31,7 @@
     try {
       std::rethrow_exception(error);
     } catch (const std::exception& thrown) {
-      reachridge::log(log_level::warning, settings_.name, std::string("task ended: ") + thrown.what());
+      reachridge::log(log_level::warning, settings_.name, std::string("background task failed: ") + thrown.what());
     }
   };
   session.self.kind = gateway_kind;
--- a/src/gateway/http_client_transport.cpp
+++ b/src/gateway/http_client_transport.cpp
@@ -14,7 +14,7 @@
   auto parse_error = boost::json::error_code();
   auto request = boost::json::parse(*line, parse_error);
   if (parse_error || !request.is_object())
-    co_return value(object{{"op", "bad"}, {"code", "malformed"}, {"why", "a line that is no JSON object"}});
+    co_return value(object{{"op", "bad"}, {"code", "malformed"}, {"why", "the line is not a JSON object"}});
   co_return std::move(request);
 }
 
--- a/src/gateway/pages.cpp
+++ b/src/gateway/pages.cpp
@@ -41,13 +41,14 @@
   }
   if (request.path == "/v1/read" && request.method == "GET")
     co_return co_await read_page(std::move(request));
-  throw request_error(errc::not_found, "no page " + request.path);
+  throw request_error(errc::not_found, "no HTTP resource exists at " + request.path);
 }
 
 auto gateway::readiness_page() -> http_response {
   if (ready())
     return http_response{200, {}, "ready\n"};
-  throw request_error(errc::not_ready, draining_ ? "leaving" : "no charter lease stands",
+  throw request_error(errc::not_ready,
+                      draining_ ? "leaving" : "no valid configuration lease, no synchronized view, or zone evacuated",
                       execution_outcome::not_executed, host_.jittered(settings_.failure_timeout) / millisecond);
 }
 
@@ -58,7 +59,7 @@
   auto partition = target.partition();
   auto address = primary_address(partition);
   if (address.empty())
-    throw request_error(errc::unreachable, "no primary of " + partition + " is in reach",
+    throw request_error(errc::unreachable, "the primary of partition " + partition + " is unknown",
                         execution_outcome::not_executed, settings_.failure_timeout / millisecond);
   auto message = storage_api::encode(storage_api::read_request{partition, target.topic, parameters.after});
   auto reply = co_await storage_connection(address).call(std::move(message), host_.now() + settings_.request_timeout);
--- a/src/gateway/requests.cpp
+++ b/src/gateway/requests.cpp
@@ -10,7 +10,7 @@
 
 constexpr auto max_in_flight = 64;  // unanswered publish and count requests per connection (design 7.4)
 constexpr auto max_client_name_bytes = std::size_t{100};
-constexpr auto invalid_client_name = "name wants 1 to 100 letters, digits, '-', '_', '.', ':'";
+constexpr auto invalid_client_name = "name must consist of 1 to 100 letters, digits, '-', '_', '.' or ':'";
 
 // Returns whether the name consists of 1 to 100 letters, digits, '-', '_', '.' and ':'.
 auto is_client_name(const std::string& name) -> bool {
@@ -57,7 +57,7 @@
   using client_api::operation;
   const auto requested_operation = client_api::parse_operation(operation_name);
   if (needs_enrolment(requested_operation) && client->name.empty())
-    throw request_error(errc::malformed, "enrol first");
+    throw request_error(errc::malformed, "the connection has not enrolled a client name");
   switch (requested_operation) {
     case operation::heartbeat:
       return client_api::check_heartbeat(request);
@@ -88,7 +88,7 @@
   if (!is_client_name(request.name))
     throw request_error(errc::malformed, invalid_client_name);
   if (!client->name.empty())
-    throw request_error(errc::version_taken, "this link is enrolled already");
+    throw request_error(errc::version_taken, "the connection has already enrolled a client name");
   client->name = std::move(request.name);
   send(client, client_api::encode_enrolled(client->name, settings_.name));
 }
@@ -97,7 +97,7 @@
 // `request_kind` names them in the error text.
 auto gateway::begin_request(const client_ptr& client, const char* request_kind) -> void {
   if (client->in_flight >= max_in_flight)
-    throw request_error(errc::busy, std::string("too many ") + request_kind + " of this link wait",
+    throw request_error(errc::busy, std::string("too many ") + request_kind + " of this connection are in flight",
                         execution_outcome::not_executed, settings_.heartbeat_interval / millisecond);
   ++client->in_flight;
 }
@@ -142,9 +142,9 @@
     throw request_error(errc::malformed, invalid_client_name);
   if (request.body.size() > static_cast<std::size_t>(settings_.max_message_bytes))
     throw request_error(errc::message_too_long,
-                        "a message over " + std::to_string(settings_.max_message_bytes) + " bytes");
+                        "the message body exceeds " + std::to_string(settings_.max_message_bytes) + " bytes");
   if (request.sequence < 1)
-    throw request_error(errc::sequence_too_low, "seq wants a whole number from 1 up");
+    throw request_error(errc::sequence_too_low, "seq must be a whole number of at least 1");
   auto target = resolve_route(action::publish, client_name, request.topic, request.body.size());
   auto partition = target.partition();
   auto deadline = request_deadline(target.space, settings_.failure_timeout * 2);
@@ -160,16 +160,16 @@
 auto gateway::resolve_route(action requested_action, const std::string& client_name, const std::string& topic,
                             std::size_t bytes) -> route {
   if (!session.may_serve() || !session.is_synchronized())
-    throw request_error(errc::no_lease, "no charter lease stands here", execution_outcome::not_executed,
-                        host_.jittered(settings_.failure_timeout) / millisecond);
+    throw request_error(errc::no_lease, "the gateway has no valid configuration lease or no synchronized view",
+                        execution_outcome::not_executed, host_.jittered(settings_.failure_timeout) / millisecond);
   if (!is_topic(topic))
-    throw request_error(errc::malformed, "'" + topic + "' is no topic");
+    throw request_error(errc::malformed, "'" + topic + "' is not a valid topic");
   const auto decision = rules().decide(requested_action, client_name, topic, bytes);
   if (!decision.allowed)
     throw request_error(errc::permission_denied, decision.reason);
   const auto* space = is_topic(decision.topic) ? rules().space_of(decision.topic) : nullptr;
   if (!space)
-    throw request_error(errc::no_such_space, "no space holds '" + decision.topic + "'");
+    throw request_error(errc::no_such_space, "no space contains topic '" + decision.topic + "'");
   return {decision.topic, *space};
 }
 
@@ -195,7 +195,7 @@
   const auto retry_after_ms = host_.jittered(settings_.failure_timeout / 4) / millisecond;
   auto rejected_by = std::string();  // address of the node that answered errc::not_primary
   while (true) {
-    auto failure = request_error(errc::unreachable, "no primary of " + partition + " is in reach",
+    auto failure = request_error(errc::unreachable, "no primary of partition " + partition + " is reachable",
                                  execution_outcome::not_executed, retry_after_ms);
     const auto address = usable_primary_address(partition, rejected_by);
     try {
--- a/src/gateway/subscriptions.cpp
+++ b/src/gateway/subscriptions.cpp
@@ -17,10 +17,10 @@
 
 auto gateway::subscribe(const client_ptr& client, client_api::subscribe_request request) -> void {
   if (client->subscriptions.count(request.topic))
-    throw request_error(errc::version_taken, "this link has subscribed to it already");
+    throw request_error(errc::version_taken, "the connection is already subscribed to the topic");
   const auto target = resolve_route(action::subscribe, client->name, request.topic, 0);
   if (client->subscriptions.size() >= static_cast<std::size_t>(rules().subscriptions))
-    throw request_error(errc::busy, "too many subscriptions on one link", execution_outcome::not_executed,
+    throw request_error(errc::busy, "too many subscriptions on this connection", execution_outcome::not_executed,
                         settings_.failure_timeout / millisecond);
   auto added = subscription();
   added.requested_topic = request.topic;
@@ -32,7 +32,7 @@
   if (request.cursor) {
     const auto position = decode_cursor(*request.cursor, added.topic, added.partition);
     if (!position)
-      throw request_error(errc::position_expired, "that cursor is no place on this topic");
+      throw request_error(errc::position_expired, "the cursor is not valid for this topic");
     added.last_position = *position;
   }
   auto& [id, entry] = subscriptions_.add(std::move(added));
@@ -43,7 +43,7 @@
 auto gateway::unsubscribe(const client_ptr& client, const client_api::unsubscribe_request& request) -> void {
   const auto found = client->subscriptions.find(request.topic);
   if (found == client->subscriptions.end())
-    throw request_error(errc::not_found, "this link has not subscribed to it");
+    throw request_error(errc::not_found, "the connection is not subscribed to the topic");
   end_subscription(std::string(found->second), true);
   send(client, client_api::encode_unsubscribed(request.topic));
 }
@@ -190,8 +190,8 @@
     entry->sent_at = host_.now();
     return;
   }
-  const auto* reason =
-      reply.code == errc::position_expired ? "what it lacks has expired" : "that position was never given out";
+  const auto* reason = reply.code == errc::position_expired ? "messages after the requested position have expired"
+                                                            : "the requested position was never assigned";
   const auto error = request_error(reply.code, reason);
   send(entry->client, client_api::encode_subscription_refused(
                           {error, entry->requested_topic, reply.position, entry->client_notified}));
