--- a/src/gateway/client_codec.cpp
+++ b/src/gateway/client_codec.cpp
@@ -56,7 +56,7 @@
     answer[field] = content;
 }
 
-// The fields that every answer to a publish ends with.
+// Adds the last fields of every answer to a publish request.
 auto add_publish_answer_fields(object answer, const echoed_fields& echoed) -> object {
   answer["op"] = "verdict";
   answer["for"] = "publish";
@@ -66,7 +66,7 @@
   return answer;
 }
 
-// The fields that every answer to a count ends with.
+// Adds the last fields of every answer to a count request.
 auto add_count_answer_fields(object answer, const echoed_fields& echoed) -> object {
   answer["op"] = "verdict";
   answer["for"] = "count";
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -136,7 +136,7 @@
   std::uint64_t delivered_messages_ = 0;
   bool draining_ = false;                          // leave() was called
   bool has_served_ = false;                        // the gateway has held a lease and a synchronized view
-  std::size_t connections_waiting_for_lease_ = 0;  // connections accepted before the first lease
+  std::size_t connections_waiting_for_lease_ = 0;  // connections that wait for the first lease
   monotonic_time last_neighbour_seen_at_ = 0;      // when the view last had another gateway of this zone
   std::size_t redirect_count_ = 0;                 // selects the targets of redirects in turn
   task_group tasks_;
--- a/src/gateway/gateway_test.cpp
+++ b/src/gateway/gateway_test.cpp
@@ -313,7 +313,7 @@
   LONGS_EQUAL(2, count());
   cluster.simulated.power(cluster.simulated.processes.at(cluster.simulated.names("forager").at(0))->machine->name,
                           false);
-  cluster.run(10 * second);  // less than the network needs to report that sending failed
+  cluster.run(10 * second);  // shorter than the network takes to give up on unacknowledged data
   LONGS_EQUAL(1, count());
 }
 
--- a/src/gateway/pages.cpp
+++ b/src/gateway/pages.cpp
@@ -6,8 +6,8 @@
 namespace reachridge {
 namespace {
 
-constexpr auto body_overhead_bytes =
-    std::size_t{4096};  // allowance for the rest of a publish request besides its escaped message
+// Maximum size of a publish request without its escaped message.
+constexpr auto body_overhead_bytes = std::size_t{4096};
 
 }  // namespace
 
