--- a/src/storage/disk_identity.cpp
+++ b/src/storage/disk_identity.cpp
@@ -1,4 +1,4 @@
-// The identity of a storage node's disk; see disk_identity.hpp.
+// The id of a storage node's disk; see disk_identity.hpp.
 #include "storage/disk_identity.hpp"
 
 #include <cstdint>
@@ -21,11 +21,11 @@
 }
 
 auto has_records(store& disk) -> bool {
-  auto any = false;
+  auto found = false;
   disk.scan("", [&](const std::string&, const std::string&) {
-    any = true;
+    found = true;
   });
-  return any;
+  return found;
 }
 
 }  // namespace
--- a/src/storage/disk_identity.hpp
+++ b/src/storage/disk_identity.hpp
@@ -1,4 +1,4 @@
-// The identity of a storage node's disk.
+// The id of a storage node's disk.
 #pragma once
 #include <string>
 
@@ -6,8 +6,9 @@
 
 namespace reachridge {
 
-// The id that is stored on the host's disk. An empty disk gets a new one, so that a new disk is never taken for the
-// lost one (design 6.10). Throws request_error (damaged) where records stand without an id, or in another format.
+// Returns the id that is stored on the host's disk. An empty disk receives a new random id, so that a replacement disk
+// is never mistaken for the lost disk (design 6.10). Throws request_error (damaged) if the disk holds records but no
+// id, or if the id record has another format.
 auto load_or_create_disk_id(host& host) -> std::string;
 
 }  // namespace reachridge
--- a/src/storage/log_entry_codec.cpp
+++ b/src/storage/log_entry_codec.cpp
@@ -1,10 +1,10 @@
-// Entries of a partition's log as values, and back; see log_entry.hpp.
+// Encoding and decoding of the entries of a partition's log; see log_entry.hpp.
 #include "storage/log_entry.hpp"
 
 namespace reachridge {
 namespace {
 
-// The field that holds an entry's kind, and the kinds.
+// The name of the field that holds the kind of an entry, and the values of this field.
 constexpr auto kind_field = "k";
 constexpr auto clock_kind = "c";
 constexpr auto publish_kind = "p";
@@ -72,7 +72,7 @@
   out.version = get_int(payload, "n");
   return out;
 }
-// Its fields are for readers of the log only, so none is required.
+// Both fields are optional, because they only inform readers of the log.
 auto decode_go_live(const value& payload) -> go_live_entry {
   return {get_int_or(payload, "e", 0), get_string_or(payload, "m")};
 }
--- a/src/storage/log_entry_test.cpp
+++ b/src/storage/log_entry_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace reachridge;
 
-// Encodes to this text, and what is read of it encodes to the same text again.
+// Checks that the entry encodes to this text, and that the decoded entry encodes to the same text again.
 auto check_format(const char* text, const log_entry& entry) -> void {
   auto payload = encode(entry);
   STRCMP_EQUAL(text, to_json(payload).c_str());
@@ -29,7 +29,7 @@
 
 TEST_GROUP(partition_log_entries){};
 
-TEST(partition_log_entries, their_format_stays) {
+TEST(partition_log_entries, the_format_of_entries_is_stable) {
   check_format(R"({"k":"c","d":250})", clock_advance{250});
   check_format(R"({"k":"p","t":"a/x","d":"c","s":5,"b":"hello","w":17})",
                publish_entry{"a/x", "c", 5, "hello", 17, {}});
@@ -41,11 +41,11 @@
   check_format(R"({"k":"v","e":4,"m":"comb-1/d"})", go_live_entry{4, "comb-1/d"});
 }
 
-TEST(partition_log_entries, an_entry_of_another_release_stays_as_it_came) {
+TEST(partition_log_entries, an_entry_of_an_unknown_kind_is_preserved) {
   check_format(R"({"k":"z","x":1})", unrecognized_entry{object{{"k", "z"}, {"x", 1}}});
 }
 
-TEST(partition_log_entries, a_missing_field_is_named) {
+TEST(partition_log_entries, a_decode_error_names_the_missing_field) {
   STRCMP_EQUAL("no string k", decode_failure(object{}).c_str());
   STRCMP_EQUAL("no number d", decode_failure(object{{"k", "c"}, {"d", "1"}}).c_str());
   STRCMP_EQUAL("no string b",
@@ -55,13 +55,13 @@
   STRCMP_EQUAL("no number resend", decode_failure(object{{"k", "l"}, {"keep", 0}, {"n", 1}}).c_str());
 }
 
-TEST(partition_log_entries, only_clock_entries_may_wait_for_their_sync) {
+TEST(partition_log_entries, only_a_clock_entry_is_a_clock_advance) {
   CHECK(is_clock_advance(encode(clock_advance{1})));
   CHECK_FALSE(is_clock_advance(encode(close_subscription_entry{"s"})));
   CHECK_THROWS(decode_error, is_clock_advance(object{}));
 }
 
-TEST(partition_log_entries, the_size_of_an_entry_follows_its_body) {
+TEST(partition_log_entries, the_estimated_size_of_an_entry_includes_its_body) {
   auto empty = estimate_entry_bytes(encode(publish_entry{"a/x", "c", 5, "", 17, {}}));
   LONGS_EQUAL(empty + 5, estimate_entry_bytes(encode(publish_entry{"a/x", "c", 5, "hello", 17, {}})));
   LONGS_EQUAL(empty, estimate_entry_bytes(encode(clock_advance{1})));
--- a/src/storage/main.cpp
+++ b/src/storage/main.cpp
@@ -1,4 +1,4 @@
-// The storage node as a program of its own.
+// The storage node program.
 #include "runtime/daemon.hpp"
 #include "storage/storage_node.hpp"
 
--- a/src/storage/member_lookup.cpp
+++ b/src/storage/member_lookup.cpp
@@ -1,3 +1,4 @@
+// Lookups of members in the view of the cluster; see member_lookup.hpp.
 #include "storage/member_lookup.hpp"
 
 namespace reachridge {
@@ -7,18 +8,19 @@
   return node && node->member() == member ? node->address : "";
 }
 
-// Each control node has a table of its sessions, and only some may know of the node's return.
+// Each control node has its own session table, and only some of the tables may already contain the node's new session.
+// A table in which the node still has the member's disk shows that the disk is not lost.
 auto is_disk_lost(const cluster_view& view, const std::string& member) -> bool {
-  auto node_is_back = false;
+  auto has_other_disk = false;
   for (const auto& [control_node, table] : view.session_tables) {
-    auto row = table.rows.find(node_of_member(member));
-    if (row == table.rows.end() || row->second.disk_id.empty())
+    auto session = table.rows.find(node_of_member(member));
+    if (session == table.rows.end() || session->second.disk_id.empty())
       continue;
-    if (row->second.member() == member)
+    if (session->second.member() == member)
       return false;
-    node_is_back = true;
+    has_other_disk = true;
   }
-  return node_is_back;
+  return has_other_disk;
 }
 
 auto is_member_leaving(const cluster_view& view, const std::string& member) -> bool {
--- a/src/storage/member_lookup.hpp
+++ b/src/storage/member_lookup.hpp
@@ -1,4 +1,5 @@
-// What a node's view of the cluster says of a member: a storage node together with its disk (design 5.2, 6.5).
+// Looks up members in a node's view of the cluster. A member is a storage node together with its disk (design 5.2,
+// 6.5).
 #pragma once
 #include <string>
 
@@ -6,13 +7,15 @@
 
 namespace reachridge {
 
-// The address at which a member is reached; empty while its node is not known, or has another disk.
+// Returns the network address of a member, or an empty string if the view lacks the member's node or the node has
+// another disk.
 [[nodiscard]] auto address_of_member(const cluster_view& view, const std::string& member) -> std::string;
 
-// Whether the member's node is back with another disk: then the member is no more, and its silence is not waited for.
+// Returns whether the member's node has come back with another disk. The member then no longer exists, and other
+// members replace it without waiting for the silence timeout.
 [[nodiscard]] auto is_disk_lost(const cluster_view& view, const std::string& member) -> bool;
 
-// Whether the member's node is to hold nothing any more.
+// Returns whether the member's node is being drained or is shutting down, and must give up all its replicas.
 [[nodiscard]] auto is_member_leaving(const cluster_view& view, const std::string& member) -> bool;
 
 }  // namespace reachridge
--- a/src/storage/member_lookup_test.cpp
+++ b/src/storage/member_lookup_test.cpp
@@ -6,7 +6,7 @@
 namespace {
 using namespace reachridge;
 
-auto storage_node_with(const std::string& disk_id) -> node_descriptor {
+auto node_with_disk(const std::string& disk_id) -> node_descriptor {
   auto node = node_descriptor();
   node.name = "n1";
   node.kind = "comb";
@@ -15,7 +15,7 @@
   return node;
 }
 
-// A view in which each of the control nodes named has a session with the node.
+// Returns a view in which each named control node has a session with the given node.
 auto view_of(const std::map<std::string, node_descriptor>& by_control_node) -> cluster_view {
   auto view = cluster_view();
   for (const auto& [control_node, node] : by_control_node)
@@ -26,24 +26,24 @@
 
 TEST_GROUP(member_lookup){};
 
-TEST(member_lookup, a_member_has_the_address_of_its_node_while_that_has_its_disk) {
-  auto view = view_of({{"c1", storage_node_with("d1")}});
+TEST(member_lookup, a_member_has_an_address_only_while_its_node_has_its_disk) {
+  auto view = view_of({{"c1", node_with_disk("d1")}});
   STRCMP_EQUAL("10.0.0.1:1", address_of_member(view, "n1/d1").c_str());
   STRCMP_EQUAL("", address_of_member(view, "n1/d2").c_str());
   STRCMP_EQUAL("", address_of_member(view, "n2/d1").c_str());
 }
 
-TEST(member_lookup, a_disk_is_lost_only_if_the_node_is_known_with_another_and_nowhere_with_this_one) {
+TEST(member_lookup, a_disk_is_lost_if_all_sessions_of_the_node_show_another_disk) {
   CHECK_FALSE(is_disk_lost(view_of({}), "n1/d1"));
-  CHECK_FALSE(is_disk_lost(view_of({{"c1", storage_node_with("d1")}}), "n1/d1"));
-  CHECK_FALSE(is_disk_lost(view_of({{"c1", storage_node_with("")}}), "n1/d1"));
-  CHECK_TRUE(is_disk_lost(view_of({{"c1", storage_node_with("d2")}}), "n1/d1"));
-  auto differing = view_of({{"c1", storage_node_with("d2")}, {"c2", storage_node_with("d1")}});
-  CHECK_FALSE(is_disk_lost(differing, "n1/d1"));
+  CHECK_FALSE(is_disk_lost(view_of({{"c1", node_with_disk("d1")}}), "n1/d1"));
+  CHECK_FALSE(is_disk_lost(view_of({{"c1", node_with_disk("")}}), "n1/d1"));
+  CHECK_TRUE(is_disk_lost(view_of({{"c1", node_with_disk("d2")}}), "n1/d1"));
+  auto mixed_view = view_of({{"c1", node_with_disk("d2")}, {"c2", node_with_disk("d1")}});
+  CHECK_FALSE(is_disk_lost(mixed_view, "n1/d1"));
 }
 
-TEST(member_lookup, a_member_leaves_with_its_node_also_when_that_is_gone) {
-  auto view = view_of({{"c1", storage_node_with("d1")}});
+TEST(member_lookup, a_member_leaves_while_its_node_is_drained_even_without_a_session) {
+  auto view = view_of({{"c1", node_with_disk("d1")}});
   CHECK_FALSE(is_member_leaving(view, "n1/d1"));
   view.drains["n1"] = {};
   CHECK_TRUE(is_member_leaving(view, "n1/d1"));
--- a/src/storage/priority_command_queue.cpp
+++ b/src/storage/priority_command_queue.cpp
@@ -1,4 +1,4 @@
-// Commands by priority; see priority_command_queue.hpp.
+// A queue of commands with priority levels; see priority_command_queue.hpp.
 #include "storage/priority_command_queue.hpp"
 
 #include <utility>
--- a/src/storage/priority_command_queue_test.cpp
+++ b/src/storage/priority_command_queue_test.cpp
@@ -7,22 +7,22 @@
 
 using namespace reachridge;
 
-auto read_of(const char* partition) -> client_command {
+auto read_command(const char* partition) -> client_command {
   return {client_operation::read, partition, {}, nullptr, nullptr};
 }
-auto partition_of(const std::optional<command>& taken) -> std::string {
-  return std::get<client_command>(*taken).partition;
+auto partition_of(const std::optional<command>& popped) -> std::string {
+  return std::get<client_command>(*popped).partition;
 }
 
 }  // namespace
 
 TEST_GROUP(priority_command_queues){};
 
-TEST(priority_command_queues, the_urgent_go_first_and_of_these_the_oldest) {
+TEST(priority_command_queues, urgent_commands_run_first_and_in_order_of_arrival) {
   auto queue = priority_command_queue();
-  queue.push(priority_command_queue::least_urgent, read_of("late"));
-  queue.push(3, read_of("first"));
-  queue.push(3, read_of("second"));
+  queue.push(priority_command_queue::least_urgent, read_command("late"));
+  queue.push(3, read_command("first"));
+  queue.push(3, read_command("second"));
   queue.push(priority_command_queue::most_urgent, connection_lost{});
   LONGS_EQUAL(4, queue.size());
   LONGS_EQUAL(2, queue.size_at(3));
--- a/src/storage/replication_codec.cpp
+++ b/src/storage/replication_codec.cpp
@@ -1,4 +1,4 @@
-// The replication messages as they are sent between storage nodes.
+// Encoding and decoding of replication messages; see replication_messages.hpp.
 #include <algorithm>
 #include <array>
 #include <utility>
@@ -27,7 +27,7 @@
   return hex;
 }
 
-// Does not check the digits: the checksum of the state finds what is not hexadecimal.
+// Does not validate the digits, because the checksum of the state detects invalid input.
 auto decode_hex(std::string_view hex) -> std::string {
   auto digit_value = [](char digit) {
     return digit <= '9' ? digit - '0' : digit - 'a' + 10;
@@ -43,19 +43,19 @@
 
 auto to_string(replication_operation operation) -> std::string_view {
   return std::find_if(operation_names.begin(), operation_names.end(),
-                      [&](const auto& row) {
-                        return row.first == operation;
+                      [&](const auto& candidate) {
+                        return candidate.first == operation;
                       })
       ->second;
 }
 
 auto parse_replication_operation(std::string_view name) -> std::optional<replication_operation> {
-  const auto* row = std::find_if(operation_names.begin(), operation_names.end(), [&](const auto& candidate) {
+  const auto* found = std::find_if(operation_names.begin(), operation_names.end(), [&](const auto& candidate) {
     return candidate.second == name;
   });
-  if (row == operation_names.end())
+  if (found == operation_names.end())
     return {};
-  return row->first;
+  return found->first;
 }
 
 auto partition_of_replication(const value& message) -> std::string {
@@ -71,7 +71,8 @@
                 {"last", request.last_index}};
 }
 
-// The last index is for whoever reads a trace: a backup has no use for it, and older primaries' form is not checked.
+// The last index only informs readers of a trace. A backup does not use the index, so the field is optional and
+// accepted in any form that older primaries send.
 auto decode_replica_join_request(const value& message) -> replica_join_request {
   auto request = replica_join_request();
   request.partition = partition_of_replication(message);
@@ -140,17 +141,17 @@
 }
 
 auto encode(const append_message& message) -> value {
-  auto rows = array();
-  rows.reserve(message.entries.size());
+  auto encoded_entries = array();
+  encoded_entries.reserve(message.entries.size());
   for (const auto& entry : message.entries)
-    rows.push_back(encode(entry));
+    encoded_entries.push_back(encode(entry));
   return object{{"op", to_string(replication_operation::append_entries)},
                 {"cell", message.partition},
                 {"epoch", message.epoch},
                 {"from", message.primary},
                 {"prev", message.previous_index},
                 {"prev_epoch", message.previous_epoch},
-                {"rows", std::move(rows)}};
+                {"rows", std::move(encoded_entries)}};
 }
 
 auto decode_append_message(const value& message) -> append_message {
@@ -160,10 +161,10 @@
   decoded.primary = get_string(message, "from");
   decoded.previous_index = get_int(message, "prev");
   decoded.previous_epoch = get_int(message, "prev_epoch");
-  const auto& rows = get_array(message, "rows");
-  decoded.entries.reserve(rows.size());
-  for (const auto& row : rows)
-    decoded.entries.push_back(decode_replicated_entry(row));
+  const auto& encoded_entries = get_array(message, "rows");
+  decoded.entries.reserve(encoded_entries.size());
+  for (const auto& entry : encoded_entries)
+    decoded.entries.push_back(decode_replicated_entry(entry));
   return decoded;
 }
 
--- a/src/storage/replication_codec_test.cpp
+++ b/src/storage/replication_codec_test.cpp
@@ -10,9 +10,9 @@
   return {.epoch = 3, .go_live_point = true, .payload = object{{"k", "c"}, {"d", 50}}};
 }
 
-// The message of the decode_error with which the value is refused; empty if it is taken.
+// Returns the text of the decode_error that decoding throws, or an empty string if decoding succeeds.
 template <class Decode>
-auto refusal(Decode decode, const value& message) -> std::string {
+auto decode_failure(Decode decode, const value& message) -> std::string {
   try {
     (void)decode(message);
   } catch (const decode_error& error) {
@@ -29,8 +29,9 @@
 
 TEST_GROUP(replication_codec){};
 
-// Names and order of the fields are those of the first release: nodes of both run side by side during an upgrade.
-TEST(replication_codec, requests_keep_their_fields_and_their_order) {
+// The names and the order of the fields must not change, because nodes of the first release and of this release
+// exchange messages during an upgrade.
+TEST(replication_codec, the_format_of_requests_is_stable) {
   auto join = replica_join_request{.partition = "p/0", .epoch = 4, .primary = "n1/d1", .join = 7, .last_index = 9};
   STRCMP_EQUAL(R"({"op":"c.join","cell":"p/0","epoch":4,"from":"n1/d1","join":7,"last":9})",
                to_json(encode(join)).c_str());
@@ -56,7 +57,7 @@
                to_json(encode(append)).c_str());
 }
 
-TEST(replication_codec, answers_and_notices_keep_their_fields_and_their_order) {
+TEST(replication_codec, the_format_of_replies_and_notifications_is_stable) {
   auto reply =
       replica_join_reply{.last_index = 9, .last_epoch = 3, .applied_index = 8, .damaged = false, .synced_index = 7};
   STRCMP_EQUAL(R"({"last":9,"epoch":3,"applied":8,"broken":false,"synced":7})", to_json(encode(reply)).c_str());
@@ -70,7 +71,7 @@
   STRCMP_EQUAL(R"({"op":"c.wait","cell":"p/0","epoch":4})", to_json(encode(announcement)).c_str());
 }
 
-TEST(replication_codec, what_is_encoded_decodes_to_the_same) {
+TEST(replication_codec, decoding_reverses_encoding) {
   auto join = replica_join_request{.partition = "p/0", .epoch = 4, .primary = "n1/d1", .join = 7, .last_index = 9};
   CHECK(encode(decode_replica_join_request(encode(join))) == encode(join));
   auto reply =
@@ -92,13 +93,13 @@
                                .previous_epoch = 2,
                                .entries = {sample_entry(), sample_entry()}};
   CHECK(encode(decode_append_message(encode(append))) == encode(append));
-  auto acknowledged = replica_acknowledgement{
+  auto acknowledgement = replica_acknowledgement{
       .partition = "p/0", .member = "n2/d2", .epoch = 4, .rejected = false, .synced_index = 6, .applied_index = 5};
-  CHECK(encode(decode_replica_acknowledgement(encode(acknowledged))) == encode(acknowledged));
+  CHECK(encode(decode_replica_acknowledgement(encode(acknowledgement))) == encode(acknowledgement));
   LONGS_EQUAL(4, decode_replay_announcement(encode(replay_announcement{.partition = "p/0", .epoch = 4})).epoch);
 }
 
-// Primaries of earlier releases number no joins, and their backups do not tell what is synced.
+// Primaries of earlier releases do not number joins, and backups of earlier releases do not report the synced index.
 TEST(replication_codec, fields_that_earlier_releases_do_not_send_have_defaults) {
   auto join =
       encode(replica_join_request{.partition = "p/0", .epoch = 4, .primary = "n1/d1", .join = 7, .last_index = 9});
@@ -108,17 +109,17 @@
   LONGS_EQUAL(9, decode_replica_join_reply(without(reply, "synced")).synced_index);
 }
 
-TEST(replication_codec, a_missing_field_is_named) {
+TEST(replication_codec, a_decode_error_names_the_missing_field) {
   auto join =
       encode(replica_join_request{.partition = "p/0", .epoch = 4, .primary = "n1/d1", .join = 7, .last_index = 9});
   for (const auto* field : {"cell", "epoch", "from"})
-    CHECK(refusal(decode_replica_join_request, without(join, field)).find(field) != std::string::npos);
+    CHECK(decode_failure(decode_replica_join_request, without(join, field)).find(field) != std::string::npos);
   auto append = encode(append_message{.partition = "p/0", .epoch = 4, .primary = "n1/d1", .entries = {}});
   for (const auto* field : {"cell", "epoch", "from", "prev", "prev_epoch"})
-    CHECK(refusal(decode_append_message, without(append, field)).find(field) != std::string::npos);
+    CHECK(decode_failure(decode_append_message, without(append, field)).find(field) != std::string::npos);
 }
 
-TEST(replication_codec, operations_are_known_by_their_names) {
+TEST(replication_codec, an_operation_name_parses_to_the_operation) {
   for (auto operation :
        {replication_operation::join, replication_operation::copy_state, replication_operation::append_entries,
         replication_operation::acknowledge, replication_operation::announce_replay})
