--- a/src/storage/admission_control.cpp
+++ b/src/storage/admission_control.cpp
@@ -1,3 +1,4 @@
+// Admission control of a primary; see admission_control.hpp.
 #include "storage/admission_control.hpp"
 
 #include <algorithm>
@@ -5,11 +6,11 @@
 namespace reachridge {
 namespace {
 
-constexpr auto share_step = 0.03;  // the share moves by a few percent a round (paper 3.2)
+constexpr auto share_step = 0.03;  // the share changes by a few percent per round (paper 3.2)
 constexpr auto min_share = 0.05;
 constexpr auto rate_window = second;
-constexpr auto min_peak_rate = 1.0;    // per second
-constexpr auto bucket_seconds = 0.25;  // tokens are kept for at most so long
+constexpr auto min_peak_rate = 1.0;    // publishes per second
+constexpr auto bucket_seconds = 0.25;  // the bucket holds at most the tokens of this time
 
 }  // namespace
 
@@ -26,10 +27,10 @@
 
 auto admission_control::adjust(monotonic_time lag, monotonic_time limit, bool may_throttle, monotonic_time now)
     -> void {
-  // Lag that falls already is let fall: the backlog drains at the share found.
-  auto rising = lag >= smoothed_lag_;
+  // A falling lag does not lower the share further, because the backlog already drains at the current share.
+  auto is_rising = lag >= smoothed_lag_;
   smoothed_lag_ = (smoothed_lag_ + lag) / 2;
-  if (may_throttle && lag > limit && rising) {
+  if (may_throttle && lag > limit && is_rising) {
     if (share_ >= 1)
       refill_tokens(now);
     share_ = std::max(min_share, share_ - share_step);
@@ -42,7 +43,7 @@
   refill_tokens(now);
   if (share_ < 1) {
     if (tokens_ < 1) {
-      ++slowed_;
+      ++throttled_;
       return false;
     }
     tokens_ -= 1;
@@ -54,16 +55,16 @@
 
 auto admission_control::refill_tokens(monotonic_time now) -> void {
   if (now - window_start_ >= rate_window) {
-    // While it slows the peak is kept: what is admitted then says nothing of
-    // what the clients would send.
-    auto former_peak = share_ >= 1 ? 0 : peak_rate_;
-    peak_rate_ = std::max(former_peak, static_cast<double>(admitted_in_window_));
+    // The peak rate does not fall while publishes are throttled, because the admitted rate then does not show how much
+    // the clients would send.
+    auto previous_peak = share_ >= 1 ? 0 : peak_rate_;
+    peak_rate_ = std::max(previous_peak, static_cast<double>(admitted_in_window_));
     admitted_in_window_ = 0;
     window_start_ = now;
   }
   auto rate = share_ * std::max(peak_rate_, min_peak_rate);
-  auto earned = rate * static_cast<double>(now - refilled_at_) / second;
-  tokens_ = std::min(tokens_ + earned, std::max(rate * bucket_seconds, 1.0));
+  auto new_tokens = rate * static_cast<double>(now - refilled_at_) / second;
+  tokens_ = std::min(tokens_ + new_tokens, std::max(rate * bucket_seconds, 1.0));
   refilled_at_ = now;
 }
 
--- a/src/storage/admission_control_test.cpp
+++ b/src/storage/admission_control_test.cpp
@@ -8,8 +8,8 @@
 
 constexpr auto lag_limit = 100 * millisecond;
 
-// Lets the lag grow for some rounds, each of which asks for a lower share.
-auto slow_down(admission_control& admission, int rounds, monotonic_time now) -> void {
+// Reports a rising lag above the limit for the given number of rounds. Each round lowers the share.
+auto throttle(admission_control& admission, int rounds, monotonic_time now) -> void {
   for (auto round = 1; round <= rounds; ++round)
     admission.adjust(lag_limit + round * millisecond, lag_limit, true, now);
 }
@@ -17,54 +17,55 @@
 
 TEST_GROUP(admission_control){};
 
-TEST(admission_control, without_lag_everything_is_admitted) {
+TEST(admission_control, every_publish_is_admitted_without_lag) {
   auto admission = admission_control();
   admission.restart(0);
   for (auto i = 0; i < 1000; ++i)
     CHECK(admission.try_admit(i * millisecond));
   LONGS_EQUAL(1000, admission.admitted());
-  LONGS_EQUAL(0, admission.slowed());
+  LONGS_EQUAL(0, admission.throttled());
 }
 
-TEST(admission_control, rising_lag_lowers_the_share_by_steps_and_not_below_its_floor) {
+TEST(admission_control, rising_lag_lowers_the_share_in_steps_down_to_the_minimum) {
   auto admission = admission_control();
   admission.restart(0);
-  slow_down(admission, 1, 0);
+  throttle(admission, 1, 0);
   DOUBLES_EQUAL(0.97, admission.share(), 1e-9);
-  slow_down(admission, 1000, 0);
+  throttle(admission, 1000, 0);
   DOUBLES_EQUAL(0.05, admission.share(), 1e-9);
 }
 
-TEST(admission_control, falling_lag_leaves_the_share_and_its_end_raises_it) {
+TEST(admission_control, falling_lag_keeps_the_share_and_low_lag_raises_it) {
   auto admission = admission_control();
   admission.restart(0);
-  slow_down(admission, 10, 0);
-  auto found = admission.share();
+  throttle(admission, 10, 0);
+  auto share_before = admission.share();
   admission.adjust(lag_limit, lag_limit, true, 0);
-  DOUBLES_EQUAL(found, admission.share(), 1e-9);
+  DOUBLES_EQUAL(share_before, admission.share(), 1e-9);
   admission.adjust(0, lag_limit, true, 0);
-  DOUBLES_EQUAL(found + 0.01, admission.share(), 1e-9);
+  DOUBLES_EQUAL(share_before + 0.01, admission.share(), 1e-9);
 }
 
-TEST(admission_control, lag_does_not_slow_where_that_is_switched_off) {
+TEST(admission_control, lag_does_not_lower_the_share_if_throttling_is_disabled) {
   auto admission = admission_control();
   admission.restart(0);
   admission.adjust(lag_limit * 2, lag_limit, false, 0);
   DOUBLES_EQUAL(1, admission.share(), 1e-9);
 }
 
-TEST(admission_control, a_low_share_admits_only_that_part_of_the_peak_rate) {
+TEST(admission_control, a_low_share_admits_that_share_of_the_peak_rate) {
   auto admission = admission_control();
   admission.restart(0);
-  // A second of 1000 publishes sets the peak.
+  // 1000 publishes in one second set the peak rate.
   for (auto i = 0; i <= 1000; ++i)
     CHECK(admission.try_admit(i * millisecond));
-  slow_down(admission, 1000, second);
+  throttle(admission, 1000, second);
   auto admitted = 0;
   for (auto i = 1; i <= 1000; ++i)
     admitted += admission.try_admit(second + i * millisecond) ? 1 : 0;
-  // A twentieth of the peak, and what the bucket held when slowing began: a quarter of a second of the full rate.
+  // The share is a twentieth of the peak rate. The bucket adds the tokens that it holds when throttling begins, which
+  // are at most a quarter of a second of the rate.
   CHECK(admitted >= 40);
   CHECK(admitted <= 70);
-  LONGS_EQUAL(1000 - admitted, admission.slowed());
+  LONGS_EQUAL(1000 - admitted, admission.throttled());
 }
--- a/src/storage/partition.cpp
+++ b/src/storage/partition.cpp
@@ -189,7 +189,7 @@
                 {"root", state_.recreated_at_position},
                 {"broken", is_damaged_},
                 {"share", admission_.share()},
-                {"slowed", admission_.slowed()},
+                {"slowed", admission_.throttled()},
                 {"stops", admission_.buffer_full_refusals()},
                 {"open", state_.subscriptions.size()},
                 {"linked", subscribers_.size()},
