--- a/src/storage/client_requests_codec.cpp
+++ b/src/storage/client_requests_codec.cpp
@@ -1,4 +1,5 @@
-// Requests of gateways and their replies as values; see client_requests.hpp. The order of fields is part of the format.
+// Encoding of gateway requests and replies as values; see client_requests.hpp. The order of the fields is part of the
+// format.
 #include <algorithm>
 #include <array>
 #include <string_view>
@@ -16,16 +17,17 @@
 
 constexpr auto operation_names = std::array{
     operation_name{client_operation::publish, "pub", true}, operation_name{client_operation::subscribe, "sub", false},
-    operation_name{client_operation::finish, "end", false}, operation_name{client_operation::read, "read", true},
-    operation_name{client_operation::count, "count", true}};
+    operation_name{client_operation::close_subscription, "end", false},
+    operation_name{client_operation::read, "read", true}, operation_name{client_operation::count, "count", true}};
 
 auto parse_operation(std::string_view name, bool is_call) -> std::optional<client_operation> {
-  const auto* row = std::find_if(operation_names.begin(), operation_names.end(), [&](const operation_name& one) {
-    return one.name == name && one.is_call == is_call;
-  });
-  if (row == operation_names.end())
+  const auto* found =
+      std::find_if(operation_names.begin(), operation_names.end(), [&](const operation_name& candidate) {
+        return candidate.name == name && candidate.is_call == is_call;
+      });
+  if (found == operation_names.end())
     return {};
-  return row->operation;
+  return found->operation;
 }
 
 auto encode_reply(const publish_reply& reply) -> value {
@@ -35,21 +37,21 @@
 }
 
 auto encode_reply(const read_reply& reply) -> value {
-  auto rows = array();
-  for (const auto& row : reply.rows)
-    rows.push_back(object{{"pos", row.position},
-                          {"from", row.sender},
-                          {"seq", row.sequence},
-                          {"body", row.body},
-                          {"at", row.wall_clock_ms}});
-  return object{{"rows", rows}, {"expired", reply.expired}, {"pos", reply.position}};
+  auto messages = array();
+  for (const auto& message : reply.messages)
+    messages.push_back(object{{"pos", message.position},
+                              {"from", message.sender},
+                              {"seq", message.sequence},
+                              {"body", message.body},
+                              {"at", message.wall_clock_ms}});
+  return object{{"rows", messages}, {"expired", reply.expired}, {"pos", reply.position}};
 }
 
 auto encode_reply(const count_reply& reply) -> value {
   return object{{"count", reply.clients}};
 }
 
-auto result_text(subscribe_result result) -> std::string_view {
+auto result_code(subscribe_result result) -> std::string_view {
   switch (result) {
     case subscribe_result::ok:
       return "ok";
@@ -122,14 +124,14 @@
 
 auto encode(const subscribe_reply& reply) -> value {
   const auto opened = reply.result == subscribe_result::ok;
-  const auto from_log = opened || reply.result == subscribe_result::expired;
-  const auto code = result_text(reply.result);
+  const auto was_logged = opened || reply.result == subscribe_result::expired;
+  const auto code = result_code(reply.result);
   auto out = object{{"op", "subbed"}, {"i", reply.subscription_id}, {"n", reply.opening}, {"ok", opened}};
-  // A request refused before it was logged is answered with the code first.
-  if (from_log)
+  // In a refusal of a request that was not logged, the code precedes the position.
+  if (was_logged)
     out["pos"] = reply.position;
   out["code"] = code;
-  if (!from_log)
+  if (!was_logged)
     out["pos"] = reply.position;
   return out;
 }
--- a/src/storage/partition.hpp
+++ b/src/storage/partition.hpp
@@ -54,7 +54,7 @@
   // limits the waiting time.
   auto publish(const publish_request& request, pending_reply_ptr reply) -> void;
   auto subscribe(const subscribe_request& request, const connection_ptr& gateway) -> void;
-  auto finish(const close_subscription_request& request) -> void;
+  auto close_subscription(const close_subscription_request& request) -> void;
   auto read(const read_request& request, pending_reply_ptr reply) -> void;
   auto count(const count_request& request, pending_reply_ptr reply) -> void;
   // Removes the subscribers of a closed connection. Their subscriptions stay open until the resend window has passed.
--- a/src/storage/partition_replicas.cpp
+++ b/src/storage/partition_replicas.cpp
@@ -138,7 +138,7 @@
     if (host_.now() - since > context_.settings.resend_window)
       expired.push_back(subscription);
   for (const auto& subscription : expired)
-    finish({subscription});
+    close_subscription({subscription});
 }
 
 // Adjusts the admission rate to the largest replay lag of the backups (design 6.7).
--- a/src/storage/partition_requests.cpp
+++ b/src/storage/partition_requests.cpp
@@ -126,11 +126,11 @@
   if (role_ != replica_role::primary)
     return reply->fail(not_primary_error());
   switch (state_.check_sequence(request.sender, request.topic, request.sequence)) {
-    case sequence_status::below:
+    case sequence_status::below_highest:
       return reply->fail({errc::sequence_too_low, "a higher sequence number has already been accepted"});
-    case sequence_status::repeat:
+    case sequence_status::duplicate:
       return answer_duplicate(request, std::move(reply));
-    case sequence_status::fresh:
+    case sequence_status::above_highest:
       break;
   }
   if (auto refusal = check_can_replicate())
@@ -276,7 +276,7 @@
   return current.opening > request.opening || (current.connection == gateway && current.opening == request.opening);
 }
 
-auto partition::finish(const close_subscription_request& request) -> void {
+auto partition::close_subscription(const close_subscription_request& request) -> void {
   const auto& subscription_id = request.subscription_id;
   subscribers_.erase(subscription_id);
   disconnected_since_.erase(subscription_id);
@@ -294,11 +294,11 @@
     const auto& topic = it->second;
     result.expired = request.after < topic.expired_position;
     for (const auto& stored : topic.messages) {
-      if (result.rows.size() >= max_read_rows)
+      if (result.messages.size() >= max_read_rows)
         break;
       if (stored.position <= request.after)
         continue;
-      result.rows.push_back({stored.position, stored.sender, stored.sequence, stored.body, stored.wall_clock_ms});
+      result.messages.push_back({stored.position, stored.sender, stored.sequence, stored.body, stored.wall_clock_ms});
     }
   }
   reply_when_replicated(std::move(reply), std::move(result));
--- a/src/storage/partition_state.cpp
+++ b/src/storage/partition_state.cpp
@@ -6,8 +6,9 @@
 namespace reachridge {
 namespace {
 
-constexpr auto clock_step_ms = std::int64_t{1000};          // the logged clock trails real time by at most this
-constexpr auto remembered_resend_spans = std::int64_t{60};  // a client is remembered for so many resend windows
+constexpr auto clock_step_ms = std::int64_t{1000};  // the partition's clock lags behind real time by at most this
+// The number of resend windows for which the state keeps the sequence numbers of a client.
+constexpr auto client_retention_resend_windows = std::int64_t{60};
 constexpr auto max_sequence_runs = std::size_t{256};
 
 }  // namespace
@@ -25,7 +26,7 @@
     runs.rbegin()->second = sequence;
   else
     runs[sequence] = sequence;
-  // A number that is forgotten is refused as `below`, never accepted again.
+  // A number whose run is removed is classified as `below_highest`, so it is never accepted again.
   while (runs.size() > max_sequence_runs)
     runs.erase(runs.begin());
 }
@@ -34,8 +35,8 @@
                                      sequence_number sequence) const -> sequence_status {
   auto it = accepted_sequences.find({client, topic});
   if (it == accepted_sequences.end() || sequence > it->second.highest)
-    return sequence_status::fresh;
-  return it->second.contains(sequence) ? sequence_status::repeat : sequence_status::below;
+    return sequence_status::above_highest;
+  return it->second.contains(sequence) ? sequence_status::duplicate : sequence_status::below_highest;
 }
 
 auto partition_state::apply(message_position position, const log_entry& entry) -> std::vector<output> {
@@ -47,15 +48,15 @@
 }
 
 auto partition_state::apply_entry(message_position /*position*/, const clock_advance& entry) -> std::vector<output> {
-  auto step_before = clock_ms / clock_step_ms;
+  auto previous_step = clock_ms / clock_step_ms;
   clock_ms += entry.elapsed_ms;
-  if (clock_ms / clock_step_ms != step_before)
-    expire();
+  if (clock_ms / clock_step_ms != previous_step)
+    remove_expired();
   return {};
 }
 
 auto partition_state::apply_entry(message_position position, const publish_entry& entry) -> std::vector<output> {
-  if (check_sequence(entry.sender, entry.topic, entry.sequence) != sequence_status::fresh)
+  if (check_sequence(entry.sender, entry.topic, entry.sequence) != sequence_status::above_highest)
     return {};
   auto& accepted = accepted_sequences[{entry.sender, entry.topic}];
   accepted.add(entry.sequence);
@@ -65,7 +66,7 @@
   topic.messages.push_back({position, entry.sender, entry.body, entry.sequence, clock_ms, entry.wall_clock_ms,
                             entry.retention_ms.value_or(retention_ms)});
 
-  // One entry is the output entry of both the acknowledgement and the fan-out.
+  // This entry is the output entry of both the acknowledgement and the deliveries.
   auto outputs = std::vector<output>();
   outputs.emplace_back(publish_accepted{entry.sender, entry.topic, entry.sequence, position});
   if (topic.subscriptions.empty())
@@ -85,8 +86,8 @@
   close_subscription(id);
   auto& topic = topics[entry.topic];
   topic.last_used = clock_ms;
-  if (const auto floor = expired_up_to(topic); after >= 0 && after < floor)
-    return {resume_expired{id, floor}};
+  if (const auto expired_position = expired_up_to(topic); after >= 0 && after < expired_position)
+    return {resume_expired{id, expired_position}};
 
   const auto from = after < 0 ? position : std::max(after, recreated_at_position);
   auto outputs = std::vector<output>();
@@ -94,11 +95,11 @@
   auto& subscription = subscriptions[id];
   subscription = {entry.topic, entry.subscriber, from};
   topic.subscriptions.insert(id);
-  for (const auto& kept : topic.messages) {
-    if (kept.position <= from)
+  for (const auto& retained : topic.messages) {
+    if (retained.position <= from)
       continue;
-    outputs.emplace_back(message_delivery{{id}, entry.topic, kept});
-    subscription.last_position = kept.position;
+    outputs.emplace_back(message_delivery{{id}, entry.topic, retained});
+    subscription.last_position = retained.position;
   }
   return outputs;
 }
@@ -114,7 +115,7 @@
   retention_ms = entry.retention_ms;
   resend_ms = entry.resend_ms;
   configuration_version = entry.version;
-  expire();
+  remove_expired();
   return {};
 }
 
@@ -128,7 +129,8 @@
   return {};
 }
 
-// Where messages are not kept, a subscription has no claim to those from before the partition was recreated.
+// The messages from before the partition was recreated only count as expired if the pool retains messages. Without
+// retention, a subscriber has no right to them.
 auto partition_state::expired_up_to(const topic_state& topic) const -> message_position {
   if (retention_ms > 0)
     return std::max(topic.expired_position, recreated_at_position);
@@ -145,37 +147,37 @@
   subscriptions.erase(it);
 }
 
-auto partition_state::client_memory_ms() const -> std::int64_t {
-  return resend_ms * remembered_resend_spans;
+auto partition_state::client_retention_ms() const -> std::int64_t {
+  return resend_ms * client_retention_resend_windows;
 }
 
-auto partition_state::is_expired(const message& message) const -> bool {
+auto partition_state::has_expired(const message& message) const -> bool {
   return message.accepted_at + std::max(message.retention_ms, resend_ms) + clock_step_ms < clock_ms;
 }
 
 auto partition_state::is_unused(const topic_state& topic) const -> bool {
   const auto longest_retention = std::max(retention_ms, resend_ms) + clock_step_ms;
   return topic.messages.empty() && topic.subscriptions.empty() &&
-         topic.last_used + std::max(client_memory_ms(), longest_retention) < clock_ms;
+         topic.last_used + std::max(client_retention_ms(), longest_retention) < clock_ms;
 }
 
-auto partition_state::expire_messages(topic_state& topic) -> void {
-  while (!topic.messages.empty() && is_expired(topic.messages.front())) {
+auto partition_state::remove_expired_messages(topic_state& topic) -> void {
+  while (!topic.messages.empty() && has_expired(topic.messages.front())) {
     topic.expired_position = topic.messages.front().position;
     topic.messages.pop_front();
   }
 }
 
-auto partition_state::expire() -> void {
+auto partition_state::remove_expired() -> void {
   for (auto& [name, topic] : topics)
-    expire_messages(topic);
-  // A topic leaves the state once it was not used for as long as a client is remembered, and its expired position with
-  // it: whoever resumes there later lacks nothing that is still kept (design 6.1).
-  std::erase_if(topics, [&](const auto& row) {
-    return is_unused(row.second);
+    remove_expired_messages(topic);
+  // Removes a topic, with its expired position, after the topic was unused for as long as a client's sequence numbers
+  // are kept. A subscriber that resumes later misses no message that is still retained (design 6.1).
+  std::erase_if(topics, [&](const auto& named_topic) {
+    return is_unused(named_topic.second);
   });
-  std::erase_if(accepted_sequences, [&](const auto& row) {
-    return row.second.last_accepted_at + client_memory_ms() < clock_ms;
+  std::erase_if(accepted_sequences, [&](const auto& accepted) {
+    return accepted.second.last_accepted_at + client_retention_ms() < clock_ms;
   });
 }
 
--- a/src/storage/partition_state_codec.cpp
+++ b/src/storage/partition_state_codec.cpp
@@ -1,4 +1,5 @@
-// Snapshots of a partition's state as values, and back. Rows are arrays; their order of fields is part of the format.
+// Encoding and decoding of snapshots of a partition's state. Each message, topic, subscription and set of accepted
+// sequence numbers is encoded as an array, so the order of its fields is part of the format.
 #include "storage/partition_state.hpp"
 
 namespace reachridge {
@@ -9,9 +10,9 @@
                message.accepted_at, message.wall_clock_ms, message.retention_ms};
 }
 
-// Snapshots of the first releases lack the retention of each message: there that of the pool holds.
-auto decode_message(const value& row, std::int64_t pool_retention_ms) -> message {
-  const auto& fields = row.as_array();
+// Snapshots of the first releases lack the retention of each message. The retention of the pool then applies.
+auto decode_message(const value& encoded, std::int64_t pool_retention_ms) -> message {
+  const auto& fields = encoded.as_array();
   auto out = message();
   out.position = fields.at(0).as_int64();
   out.sender = fields.at(1).as_string();
@@ -34,11 +35,11 @@
   return out;
 }
 
-auto decode_topic(partition_state& state, const value& row) -> void {
-  const auto& fields = row.as_array();
+auto decode_topic(partition_state& state, const value& encoded) -> void {
+  const auto& fields = encoded.as_array();
   auto& topic = state.topics[std::string(fields.at(0).as_string())];
   topic.expired_position = fields.at(1).as_int64();
-  // Snapshots of the first release lack it.
+  // Snapshots of the first release lack the time of the last use.
   topic.last_used = fields.size() > 3 ? fields.at(3).as_int64() : state.clock_ms;
   for (const auto& message : fields.at(2).as_array())
     topic.messages.push_back(decode_message(message, state.retention_ms));
@@ -51,8 +52,8 @@
   return out;
 }
 
-auto decode_subscription(partition_state& state, const value& row) -> void {
-  const auto& fields = row.as_array();
+auto decode_subscription(partition_state& state, const value& encoded) -> void {
+  const auto& fields = encoded.as_array();
   auto id = std::string(fields.at(0).as_string());
   auto& subscription = state.subscriptions[id];
   subscription.topic = fields.at(1).as_string();
@@ -72,8 +73,8 @@
   return out;
 }
 
-auto decode_accepted_sequences(partition_state& state, const value& row) -> void {
-  const auto& fields = row.as_array();
+auto decode_accepted_sequences(partition_state& state, const value& encoded) -> void {
+  const auto& fields = encoded.as_array();
   auto key = std::pair(std::string(fields.at(0).as_string()), std::string(fields.at(1).as_string()));
   auto& accepted = state.accepted_sequences[std::move(key)];
   accepted.highest = fields.at(2).as_int64();
@@ -102,12 +103,12 @@
   state.resend_ms = get_int(snapshot, "resend");
   state.configuration_version = get_int(snapshot, "law");
   state.recreated_at_position = get_int_or(snapshot, "root", 0);
-  for (const auto& row : get_array(snapshot, "topics"))
-    decode_topic(state, row);
-  for (const auto& row : get_array(snapshot, "open"))
-    decode_subscription(state, row);
-  for (const auto& row : get_array(snapshot, "callers"))
-    decode_accepted_sequences(state, row);
+  for (const auto& topic : get_array(snapshot, "topics"))
+    decode_topic(state, topic);
+  for (const auto& subscription : get_array(snapshot, "open"))
+    decode_subscription(state, subscription);
+  for (const auto& accepted : get_array(snapshot, "callers"))
+    decode_accepted_sequences(state, accepted);
   return state;
 }
 
--- a/src/storage/partition_state_test.cpp
+++ b/src/storage/partition_state_test.cpp
@@ -37,25 +37,25 @@
   state.retention_ms = pool_retention_ms;
   return state;
 }
-auto is_opened(const reachridge::output& sent) -> bool {
-  return std::holds_alternative<reachridge::subscription_opened>(sent);
+auto is_subscription_opened(const reachridge::output& produced) -> bool {
+  return std::holds_alternative<reachridge::subscription_opened>(produced);
 }
-auto is_expired(const reachridge::output& sent) -> bool {
-  return std::holds_alternative<reachridge::resume_expired>(sent);
+auto is_resume_expired(const reachridge::output& produced) -> bool {
+  return std::holds_alternative<reachridge::resume_expired>(produced);
 }
 
 }  // namespace
 
 TEST_GROUP(partition_state_entries){};
 
-TEST(partition_state_entries, repeats_and_late_ones) {
+TEST(partition_state_entries, a_duplicate_and_a_late_sequence_number_are_recognized) {
   auto state = partition_state();
   state.apply(1, publish("c", 5));
   state.apply(2, publish("c", 7));
-  CHECK(state.check_sequence("c", topic, 5) == sequence_status::repeat);
-  CHECK(state.check_sequence("c", topic, 6) == sequence_status::below);
-  CHECK(state.check_sequence("c", topic, 8) == sequence_status::fresh);
-  CHECK(state.check_sequence("d", topic, 1) == sequence_status::fresh);
+  CHECK(state.check_sequence("c", topic, 5) == sequence_status::duplicate);
+  CHECK(state.check_sequence("c", topic, 6) == sequence_status::below_highest);
+  CHECK(state.check_sequence("c", topic, 8) == sequence_status::above_highest);
+  CHECK(state.check_sequence("d", topic, 1) == sequence_status::above_highest);
   CHECK(state.apply(3, publish("c", 6)).empty());
   LONGS_EQUAL(2, state.topics[topic].messages.size());
 }
@@ -77,32 +77,32 @@
   STRCMP_EQUAL("hello", delivery.message.body.c_str());
 }
 
-TEST(partition_state_entries, resume_gives_what_is_lacking_and_fails_only_when_expired) {
+TEST(partition_state_entries, resume_delivers_missed_messages_and_fails_only_if_one_expired) {
   auto state = state_with_retention();
   state.apply(1, publish("c", 1));
   state.apply(2, elapse(30000));
   state.apply(3, publish("c", 2));
   auto outputs = state.apply(4, subscribe("s", 0));
   LONGS_EQUAL(3, outputs.size());
-  CHECK(is_opened(outputs[0]));
+  CHECK(is_subscription_opened(outputs[0]));
   LONGS_EQUAL(3, state.subscriptions["s"].last_position);
-  state.apply(5, elapse(7000));  // the first is 37 s old, the second 7 s
-  CHECK(is_expired(state.apply(6, subscribe("s", 0))[0]));
-  CHECK(is_opened(state.apply(7, subscribe("s", 1))[0]));
+  state.apply(5, elapse(7000));  // the first message is 37 s old, the second message is 7 s old
+  CHECK(is_resume_expired(state.apply(6, subscribe("s", 0))[0]));
+  CHECK(is_subscription_opened(state.apply(7, subscribe("s", 1))[0]));
 }
 
-TEST(partition_state_entries, topics_that_come_and_go_leave_the_state) {
+TEST(partition_state_entries, unused_topics_are_removed) {
   auto state = state_with_retention();
   auto most_topics = std::size_t{0};
-  for (auto i = 1; i <= 3000; ++i) {  // each used once, one in six seconds, for five hours
+  for (auto i = 1; i <= 3000; ++i) {  // one new topic every six seconds for five hours
     state.apply(std::int64_t{i} * 2, publish("c" + std::to_string(i), 1, "a/t" + std::to_string(i)));
     state.apply(i * 2 + 1, elapse(6000));
     most_topics = std::max(most_topics, state.topics.size());
     CHECK(state.accepted_sequences.size() <= state.topics.size() + 1);
   }
-  CHECK(most_topics >= 100);  // remembered for ten minutes
+  CHECK(most_topics >= 100);  // a topic is kept for ten minutes after its last use
   CHECK(most_topics <= 110);
-  // One with a subscription, one with a kept message and one in its resend window stay.
+  // A topic with a subscription, with a retained message, or in its resend window is not removed.
   state.apply(7001, subscribe("s", -1));
   state.apply(7002, elapse(3600000));
   LONGS_EQUAL(1, state.topics.size());
@@ -113,10 +113,10 @@
   LONGS_EQUAL(1, state.topics[topic].messages.size());
   state.apply(7006, elapse(700000));
   LONGS_EQUAL(0, state.topics.size());
-  CHECK(is_opened(state.apply(7007, subscribe("s", 7003))[0]));
+  CHECK(is_subscription_opened(state.apply(7007, subscribe("s", 7003))[0]));
 }
 
-TEST(partition_state_entries, a_snapshot_is_the_whole_state) {
+TEST(partition_state_entries, a_snapshot_contains_the_whole_state) {
   auto state = partition_state();
   state.apply(1, subscribe("s", -1));
   state.apply(2, publish("c", 5));
@@ -129,7 +129,7 @@
   CHECK(restored.take_snapshot() == state.take_snapshot());
 }
 
-TEST(partition_state_entries, the_format_of_a_snapshot_stays) {
+TEST(partition_state_entries, the_format_of_a_snapshot_is_stable) {
   auto state = state_with_retention();
   state.recreated_at_position = 1;
   state.configuration_version = 9;
@@ -143,9 +143,9 @@
                reachridge::to_json(state.take_snapshot()).c_str());
 }
 
-TEST(partition_state_entries, each_message_is_kept_as_long_as_its_own_space_says) {
+TEST(partition_state_entries, each_message_is_retained_as_its_own_space_specifies) {
   auto state = state_with_retention();
-  state.apply(1, publish_retained("c", 1, topic, 0));  // still kept for the resend window, as any
+  state.apply(1, publish_retained("c", 1, topic, 0));  // like every message, kept for the resend window
   state.apply(2, publish_retained("c", 2, other_topic, 20000));
   state.apply(3, elapse(15000));
   LONGS_EQUAL(0, state.topics[topic].messages.size());
--- a/src/storage/storage_node.cpp
+++ b/src/storage/storage_node.cpp
@@ -1,4 +1,4 @@
-// A storage node's start, end, connections and status; see storage_node.hpp.
+// Startup, shutdown, connections and status of a storage node; see storage_node.hpp.
 #include "storage/storage_node.hpp"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace reachridge {
 namespace {
 
-constexpr auto node_kind = "comb";  // of storage nodes, in their descriptors
+constexpr auto node_kind = "comb";  // the kind in the node descriptors of storage nodes
 
 }  // namespace
 
@@ -62,11 +62,11 @@
   tasks_.spawn(serve_http(host_, tasks_, host_.listen(settings_.http_address), pages));
 }
 
-// Frames are passed on to other storage nodes only.
+// Only frames for other storage nodes are relayed.
 auto storage_node::may_relay_to(const std::string& address) const -> bool {
   auto nodes = session.view.nodes();
-  return std::any_of(nodes.begin(), nodes.end(), [&](const auto& named) {
-    const auto& node = named.second;
+  return std::any_of(nodes.begin(), nodes.end(), [&](const auto& named_node) {
+    const auto& node = named_node.second;
     return node.kind == node_kind && node.address == address;
   });
 }
@@ -93,12 +93,12 @@
   connection->on_notification = [this](const value& notification) {
     if (parse_replication_operation(get_string_or(notification, "op")) != replication_operation::acknowledge)
       return;
-    if (auto* acked = find_partition(partition_of_replication(notification)))
-      acked->on_acknowledgement(decode_replica_acknowledgement(notification));
+    if (auto* primary = find_partition(partition_of_replication(notification)))
+      primary->on_acknowledgement(decode_replica_acknowledgement(notification));
   };
   auto notify_partitions = [this] {
-    for (auto& [id, held] : partitions_)
-      held->on_replica_connection_changed();
+    for (auto& [id, replica] : partitions_)
+      replica->on_replica_connection_changed();
   };
   connection->on_state_change = [notify_partitions](bool /*up*/) {
     notify_partitions();
@@ -112,12 +112,12 @@
   session.self.stopping = true;
   session.self.ready = false;
   reachridge::log(log_level::info, settings_.name, "leaving: partitions are handed over");
-  auto leads_any = [this] {
-    return std::any_of(partitions_.begin(), partitions_.end(), [](const auto& held) {
-      return held.second->is_primary();
+  auto leads_partition = [this] {
+    return std::any_of(partitions_.begin(), partitions_.end(), [](const auto& replica) {
+      return replica.second->is_primary();
     });
   };
-  while (host_.now() < limit && leads_any())
+  while (host_.now() < limit && leads_partition())
     co_await sleep_for(host_, settings_.heartbeat_interval / 4);
   co_await session.leave(std::min(limit, host_.now() + settings_.heartbeat_interval));
 }
@@ -129,8 +129,8 @@
 
 auto storage_node::status() const -> value {
   auto partitions = object();
-  for (const auto& [id, held] : partitions_)
-    partitions[id] = held->status();
+  for (const auto& [id, replica] : partitions_)
+    partitions[id] = replica->status();
   const auto* disk = host_.disk();
   return object{{"kind", node_kind},
                 {"name", settings_.name},
--- a/src/storage/storage_node.hpp
+++ b/src/storage/storage_node.hpp
@@ -1,8 +1,8 @@
-// The process that holds partitions: it takes the requests of gateways and of other storage nodes, and opens and
-// removes partitions as the control plane assigns them (design 6).
+// A storage node: the process that holds replicas of partitions. The node serves requests of gateways and of other
+// storage nodes, and opens and removes replicas according to the assignments of the control nodes (design 6).
 //
-// One task, `run_commands`, runs the requests of gateways, one at a time and the urgent ones first; so no partition
-// sees two of them at once (design 6.7).
+// A single task, `run_commands`, executes the requests of gateways one at a time in order of priority. Therefore a
+// partition never handles two requests concurrently (design 6.7).
 #pragma once
 #include <map>
 #include <memory>
@@ -15,26 +15,30 @@
 
 namespace reachridge {
 
+// Runs one storage node on the event loop of its host. All member functions run on that event loop.
 class storage_node {
  public:
-  // Starts to serve. Throws request_error if an address can't be listened on or the disk is damaged.
+  // Starts to serve. Throws request_error if the node cannot listen on one of its addresses or if the disk is damaged.
   storage_node(host& host, const settings& settings);
   ~storage_node();
 
-  // What the status page and statediff show.
+  // Returns the fields that the status page and statediff show.
   [[nodiscard]] auto status() const -> value;
-  // Hands its partitions over; returns once it leads none, or at the limit.
+  // Hands over the leadership of the node's partitions before the process shuts down. Returns when the node is no
+  // longer the primary of any partition, or at the time `limit`.
   auto leave(monotonic_time limit) -> task<void>;
-  // Takes settings that may change while the process runs.
+  // Applies new values of the settings that may change while the process runs.
   auto reload(const settings& settings) -> void;
-  [[nodiscard]] auto held_partition(const std::string& id) const -> const partition*;  // null: not held here
-  // The connection to another storage node; it is opened at the first call and kept.
+  // Returns the replica of this partition on this node, or null.
+  [[nodiscard]] auto held_partition(const std::string& id) const -> const partition*;
+  // Returns the connection to another storage node. The first call for an address creates the connection, and the node
+  // keeps the connection.
   auto peer(const std::string& address) -> peer_connection&;
 
   control_session session;
 
  private:
-  // storage_node_requests.cpp: what arrives at this node.
+  // storage_node_requests.cpp: calls, notifications, closed connections and HTTP requests.
   auto handle_call(connection_ptr from, value request) -> task<value>;
   auto on_notification(const connection_ptr& from, const value& notification) -> void;
   auto dispatch_notification(const connection_ptr& from, const value& notification) -> void;
@@ -45,15 +49,15 @@
   auto check_may_join() const -> void;
   auto check_disk() const -> void;
   auto run_commands() -> task<void>;
-  auto run_next_command() -> bool;  // false: nothing waits
+  auto run_next_command() -> bool;  // returns false if the queue is empty
   auto run_command(const client_command& command) -> void;
   auto run_command(const connection_lost& command) -> void;
   auto run_on_partition(partition& target, const client_command& command) -> void;
-  auto refuse_not_held(const client_command& command) -> void;
+  auto reject_not_held(const client_command& command) -> void;
   [[nodiscard]] auto priority_of(const std::string& partition_id) const -> std::size_t;
   auto handle_page(http_request request) -> task<http_response>;
 
-  // storage_node_partitions.cpp: which partitions are held here.
+  // storage_node_partitions.cpp: the replicas on this node.
   auto maintain_partitions() -> task<void>;
   auto open_stored_partitions() -> task<void>;
   [[nodiscard]] auto stored_partition_ids() const -> std::set<std::string>;
@@ -63,8 +67,8 @@
   [[nodiscard]] auto find_partition(const std::string& id) -> partition*;
   [[nodiscard]] auto total_load() const -> std::int64_t;
   [[nodiscard]] auto served_version() const -> std::int64_t;
-  auto check_process(std::string name) -> task<void>;
-  auto process_gone(const std::string& name) -> void;
+  auto probe_process(std::string name) -> task<void>;
+  auto notify_process_gone(const std::string& name) -> void;
 
   auto start_listening() -> void;
   auto make_peer(const std::string& address) -> std::unique_ptr<peer_connection>;
--- a/src/storage/storage_node_partitions.cpp
+++ b/src/storage/storage_node_partitions.cpp
@@ -1,4 +1,4 @@
-// Which partitions a storage node holds, and whether the processes that lead them live; see storage_node.hpp.
+// The replicas on a storage node, and detection of terminated primary processes; see storage_node.hpp.
 #include <algorithm>
 
 #include "runtime/log.hpp"
@@ -6,13 +6,13 @@
 
 namespace reachridge {
 
-// Opens the partitions that the control plane assigns to this node, and removes those it holds no more. Those on its
-// disk are opened at once, also while the control plane has no leader.
+// Opens the partitions that the control nodes assign to this node, and removes obsolete replicas. The replicas on disk
+// are opened immediately, even while the control nodes have no leader.
 auto storage_node::maintain_partitions() -> task<void> {
   co_await open_stored_partitions();
   while (true) {
     co_await session.changed.wait(host_, host_.now() + settings_.heartbeat_interval);
-    // A replica that cannot be read now is not a damaged one.
+    // While the disk fails, a replica that cannot be read must not be treated as damaged.
     if (!session.is_synchronized() || host_.disk()->failed())
       continue;
     apply_assignments();
@@ -28,7 +28,7 @@
   }
 }
 
-// By the keys of their snapshots ("C/ID/s") and log entries ("C/ID/e/INDEX").
+// Finds the ids in the keys of snapshots ("C/ID/s") and log entries ("C/ID/e/INDEX").
 auto storage_node::stored_partition_ids() const -> std::set<std::string> {
   constexpr auto prefix = std::string_view("C/");
   auto ids = std::set<std::string>();
@@ -46,12 +46,12 @@
   for (const auto& [id, assignment] : assignments)
     if (assignment.has_member(member))
       open_partition(id);
-  for (auto& [id, held] : partitions_)
+  for (auto& [id, replica] : partitions_)
     if (auto it = assignments.find(id); it != assignments.end())
-      held->apply_assignment(it->second);
+      replica->apply_assignment(it->second);
 }
 
-// Those whose replicas are all on other nodes.
+// Erases the replicas of partitions that are assigned to other nodes only.
 auto storage_node::remove_obsolete_partitions() -> void {
   for (auto it = partitions_.begin(); it != partitions_.end();) {
     if (!it->second->is_obsolete()) {
@@ -65,17 +65,17 @@
 }
 
 auto storage_node::open_partition(const std::string& id) -> partition& {
-  auto& held = partitions_[id];
-  if (!held) {
+  auto& replica = partitions_[id];
+  if (!replica) {
     auto peer_at = [this](const std::string& address) -> peer_connection& {
       return peer(address);
     };
     auto leaving = [this] {
       return leaving_;
     };
-    held = std::make_unique<partition>(partition_context{host_, settings_, session, peer_at, leaving}, id);
+    replica = std::make_unique<partition>(partition_context{host_, settings_, session, peer_at, leaving}, id);
   }
-  return *held;
+  return *replica;
 }
 
 auto storage_node::find_partition(const std::string& id) -> partition* {
@@ -85,23 +85,24 @@
 
 auto storage_node::total_load() const -> std::int64_t {
   auto units = std::int64_t{0};
-  for (const auto& [id, held] : partitions_)
-    units += held->load_units();
+  for (const auto& [id, replica] : partitions_)
+    units += replica->load_units();
   return units;
 }
 
-// The oldest version by which a partition that is led here still works.
+// Returns the oldest configuration version that is in effect in a partition whose primary is on this node.
 auto storage_node::served_version() const -> std::int64_t {
   auto oldest = session.view.configuration ? session.view.configuration->number : 0;
-  for (const auto& [id, held] : partitions_)
-    if (held->is_primary())
-      oldest = std::min(oldest, held->configuration_number());
+  for (const auto& [id, replica] : partitions_)
+    if (replica->is_primary())
+      oldest = std::min(oldest, replica->configuration_number());
   return oldest;
 }
 
-// Does the process still live whose connection ended? A connection that is refused tells at once that it does not; a
-// machine without power and a network cut tell nothing, and are found by their silence (design 6.5).
-auto storage_node::check_process(std::string name) -> task<void> {
+// Checks whether the process whose connection was closed has terminated. A refused connection proves at once that the
+// process has terminated. After a power failure or a network partition no attempt is refused, and the silence timeout
+// detects the failure (design 6.5).
+auto storage_node::probe_process(std::string name) -> task<void> {
   const auto* node = session.view.find(name);
   if (!node || node->address.empty())
     co_return;
@@ -111,23 +112,24 @@
     auto refused = false;
     auto stream = co_await host_.connect(address, deadline, &refused);
     if (refused) {
-      process_gone(name);
+      notify_process_gone(name);
       co_return;
     }
     if (!stream)
       co_return;
-    // A process that is about to end may still have accepted the connection: then this one is closed too.
-    auto alive = co_await stream->read_more(host_.now() + settings_.heartbeat_interval / 4);
+    // A terminating process may still accept the connection, but closes the connection soon. In this case the loop
+    // tries again.
+    auto got_data = co_await stream->read_more(host_.now() + settings_.heartbeat_interval / 4);
     stream->close();
-    if (alive || !stream->closed)
+    if (got_data || !stream->closed)
       co_return;
     co_await sleep_for(host_, settings_.heartbeat_interval / 16);
   }
 }
 
-auto storage_node::process_gone(const std::string& name) -> void {
-  for (auto& [id, held] : partitions_)
-    held->on_primary_process_gone(name);
+auto storage_node::notify_process_gone(const std::string& name) -> void {
+  for (auto& [id, replica] : partitions_)
+    replica->on_primary_process_gone(name);
 }
 
 }  // namespace reachridge
--- a/src/storage/storage_node_requests.cpp
+++ b/src/storage/storage_node_requests.cpp
@@ -1,26 +1,27 @@
-// What arrives at a storage node: calls, notifications, lost connections and pages; see storage_node.hpp.
+// Calls, notifications, closed connections and HTTP requests that arrive at a storage node; see storage_node.hpp.
 #include "runtime/log.hpp"
 #include "storage/storage_node.hpp"
 
 namespace reachridge {
 namespace {
 
-constexpr auto max_queued_commands = std::size_t{2000};  // that wait at one priority
+constexpr auto max_queued_commands = std::size_t{2000};  // the limit of waiting commands at one priority level
 
 }  // namespace
 
 auto storage_node::handle_call(connection_ptr from, value request) -> task<value> {
   const auto operation = get_string(request, "op");
-  if (auto of_client = parse_client_call(operation))
-    co_return co_await wait_for_reply(enqueue_call(*of_client, std::move(from), std::move(request)));
-  if (auto of_replication = parse_replication_operation(operation))
-    co_return co_await handle_replication_call(*of_replication, std::move(request));
+  if (auto client_request = parse_client_call(operation))
+    co_return co_await wait_for_reply(enqueue_call(*client_request, std::move(from), std::move(request)));
+  if (auto replication_request = parse_replication_operation(operation))
+    co_return co_await handle_replication_call(*replication_request, std::move(request));
   if (operation == "status")
     co_return status();
   throw request_error(errc::malformed, "unknown request " + operation);
 }
 
-// A primary joins this node's replica, or copies its state to it. The replica is opened if it is not held yet.
+// Handles a primary's request to join a replica on this node, or a chunk of a state copy. Opens the replica if this
+// node does not have the replica yet.
 auto storage_node::handle_replication_call(replication_operation operation, value request) -> task<value> {
   if (operation == replication_operation::join) {
     check_may_join();
@@ -65,13 +66,15 @@
   co_return encode(*reply->result);
 }
 
-// Nothing is taken from a primary while the disk refuses writes: it could not be acknowledged (design 6.8).
+// Throws request_error if the disk refuses writes. The node then accepts nothing from a primary, because the node could
+// not acknowledge what it receives (design 6.8).
 auto storage_node::check_disk() const -> void {
   if (host_.disk()->failed())
     throw request_error(errc::disk_failed, "the disk takes nothing now", execution_outcome::not_executed,
                         settings_.failure_timeout / millisecond);
 }
 
+// Throws request_error if the disk refuses writes or this node's view of the cluster may be out of date.
 auto storage_node::check_may_join() const -> void {
   check_disk();
   if (!session.is_synchronized())
@@ -91,17 +94,17 @@
 
 auto storage_node::dispatch_notification(const connection_ptr& from, const value& notification) -> void {
   const auto operation = get_string_or(notification, "op");
-  if (auto of_client = parse_client_notification(operation)) {
+  if (auto client_request = parse_client_notification(operation)) {
     auto partition_id = partition_of_request(notification);
     const auto level = priority_of(partition_id);
-    commands_.push(level, client_command{*of_client, std::move(partition_id), notification, from, nullptr});
+    commands_.push(level, client_command{*client_request, std::move(partition_id), notification, from, nullptr});
     return;
   }
-  const auto of_replication = parse_replication_operation(operation);
-  if (of_replication == replication_operation::append_entries) {
+  const auto replication_request = parse_replication_operation(operation);
+  if (replication_request == replication_operation::append_entries) {
     if (auto* backup = find_partition(partition_of_replication(notification)))
       backup->on_append(from, decode_append_message(notification));
-  } else if (of_replication == replication_operation::announce_replay) {
+  } else if (replication_request == replication_operation::announce_replay) {
     if (auto* backup = find_partition(partition_of_replication(notification)))
       backup->on_replay_announcement(decode_replay_announcement(notification).epoch);
   }
@@ -111,7 +114,8 @@
   commands_.push(priority_command_queue::most_urgent, connection_lost{connection});
 }
 
-// By the urgency of the partition's pool (design 6.7); one whose pool is not known comes last.
+// Returns the priority level of a partition, which follows from the urgency of its pool (design 6.7). A partition of an
+// unknown pool has the lowest priority.
 auto storage_node::priority_of(const std::string& partition_id) const -> std::size_t {
   if (!session.view.configuration)
     return priority_command_queue::least_urgent;
@@ -125,7 +129,7 @@
 auto storage_node::run_commands() -> task<void> {
   while (true) {
     if (run_next_command())
-      co_await sleep_until(host_, 0);  // other tasks get their turn between two commands
+      co_await sleep_until(host_, 0);  // lets other tasks run between two commands
     else
       co_await commands_.queued.wait(host_);
   }
@@ -145,13 +149,13 @@
 }
 
 auto storage_node::run_command(const connection_lost& command) -> void {
-  auto followed_primary = false;
-  for (auto& [id, held] : partitions_) {
-    held->on_gateway_disconnected(command.connection);
-    followed_primary |= held->drop_primary_connection(command.connection);
+  auto lost_primary = false;
+  for (auto& [id, replica] : partitions_) {
+    replica->on_gateway_disconnected(command.connection);
+    lost_primary |= replica->drop_primary_connection(command.connection);
   }
-  if (followed_primary)
-    tasks_.spawn(check_process(command.connection->peer_name));
+  if (lost_primary)
+    tasks_.spawn(probe_process(command.connection->peer_name));
 }
 
 auto storage_node::run_command(const client_command& command) -> void {
@@ -159,7 +163,7 @@
     if (auto* target = find_partition(command.partition))
       run_on_partition(*target, command);
     else
-      refuse_not_held(command);
+      reject_not_held(command);
   } catch (const decode_error& error) {
     if (command.reply)
       command.reply->fail({errc::malformed, error.what()});
@@ -173,8 +177,8 @@
       return target.publish(decode_publish_request(command.request), command.reply);
     case client_operation::subscribe:
       return target.subscribe(decode_subscribe_request(command.request), command.gateway);
-    case client_operation::finish:
-      return target.finish(decode_close_subscription_request(command.request));
+    case client_operation::close_subscription:
+      return target.close_subscription(decode_close_subscription_request(command.request));
     case client_operation::read:
       return target.read(decode_read_request(command.request), command.reply);
     case client_operation::count:
@@ -182,7 +186,7 @@
   }
 }
 
-auto storage_node::refuse_not_held(const client_command& command) -> void {
+auto storage_node::reject_not_held(const client_command& command) -> void {
   if (command.reply) {
     command.reply->fail({errc::not_primary, command.partition + " is not held here", execution_outcome::not_executed,
                          settings_.heartbeat_interval / millisecond});
@@ -200,8 +204,8 @@
     co_return *page;
   if (request.path != "/readyz")
     throw request_error(errc::not_found, "no page " + request.path);
-  const auto leased = session.is_synchronized() && session.has_lease();
-  if (!leaving_ && leased && !host_.disk()->failed())
+  const auto is_leased = session.is_synchronized() && session.has_lease();
+  if (!leaving_ && is_leased && !host_.disk()->failed())
     co_return http_response{200, {}, "ready\n"};
   throw request_error(errc::not_ready, leaving_ ? "leaving" : "no lease stands", execution_outcome::not_executed,
                       settings_.failure_timeout / millisecond);
