--- a/src/storage/disk_identity.cpp
+++ b/src/storage/disk_identity.cpp
@@ -35,7 +35,7 @@
   if (auto record = disk.get(disk_key))
     return read_disk_id(*record);
   if (has_records(disk))
-    throw request_error(errc::damaged, "the data folder holds records but lacks its name: foreign or damaged");
+    throw request_error(errc::damaged, "the data folder contains records but no disk id: foreign or damaged");
   char id[20];
   std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(host.random()));
   disk.put(disk_key, encode_with_checksum(object{{"format", disk_format}, {"id", id}}));
--- a/src/storage/storage_node.cpp
+++ b/src/storage/storage_node.cpp
@@ -111,7 +111,7 @@
   leaving_ = true;
   session.self.stopping = true;
   session.self.ready = false;
-  reachridge::log(log_level::info, settings_.name, "leaving: partitions are handed over");
+  reachridge::log(log_level::info, settings_.name, "shutting down: handing over partitions");
   auto leads_partition = [this] {
     return std::any_of(partitions_.begin(), partitions_.end(), [](const auto& replica) {
       return replica.second->is_primary();
--- a/src/storage/storage_node_partitions.cpp
+++ b/src/storage/storage_node_partitions.cpp
@@ -58,7 +58,7 @@
       ++it;
       continue;
     }
-    reachridge::log(log_level::info, settings_.name, it->first + ": old replica removed");
+    reachridge::log(log_level::info, settings_.name, it->first + ": obsolete replica removed");
     it->second->wipe();
     it = partitions_.erase(it);
   }
--- a/src/storage/storage_node_requests.cpp
+++ b/src/storage/storage_node_requests.cpp
@@ -17,7 +17,7 @@
     co_return co_await handle_replication_call(*replication_request, std::move(request));
   if (operation == "status")
     co_return status();
-  throw request_error(errc::malformed, "unknown request " + operation);
+  throw request_error(errc::malformed, "unknown operation " + operation);
 }
 
 // Handles a primary's request to join a replica on this node, or a chunk of a state copy. Opens the replica if this
@@ -37,7 +37,7 @@
     co_await replica.on_state_chunk(std::move(chunk));
     co_return encode_state_chunk_reply();
   }
-  throw request_error(errc::malformed, "unknown request " + std::string(to_string(operation)));
+  throw request_error(errc::malformed, "unknown operation " + std::string(to_string(operation)));
 }
 
 auto storage_node::enqueue_call(client_operation operation, connection_ptr gateway, value request)
@@ -45,7 +45,7 @@
   auto partition_id = partition_of_request(request);
   const auto level = priority_of(partition_id);
   if (commands_.size_at(level) >= max_queued_commands)
-    throw request_error(errc::busy, "too many requests wait", execution_outcome::not_executed,
+    throw request_error(errc::busy, "the request queue of this priority is full", execution_outcome::not_executed,
                         settings_.lag_limit / millisecond);
   auto reply = std::make_shared<pending_reply>();
   commands_.push(level,
@@ -58,8 +58,8 @@
   while (!reply->result && !reply->error) {
     auto in_time = co_await reply->done.wait(host_, deadline);
     if (!in_time)
-      throw request_error(errc::unclear, "not safe on a second copy in time", execution_outcome::unknown,
-                          settings_.failure_timeout / millisecond / 2);
+      throw request_error(errc::unclear, "the required log entries were not replicated before the timeout",
+                          execution_outcome::unknown, settings_.failure_timeout / millisecond / 2);
   }
   if (reply->error)
     throw *reply->error;
@@ -70,7 +70,7 @@
 // not acknowledge what it receives (design 6.8).
 auto storage_node::check_disk() const -> void {
   if (host_.disk()->failed())
-    throw request_error(errc::disk_failed, "the disk takes nothing now", execution_outcome::not_executed,
+    throw request_error(errc::disk_failed, "the disk refuses writes", execution_outcome::not_executed,
                         settings_.failure_timeout / millisecond);
 }
 
@@ -78,8 +78,8 @@
 auto storage_node::check_may_join() const -> void {
   check_disk();
   if (!session.is_synchronized())
-    throw request_error(errc::unreachable, "not yet fresh from the ledger", execution_outcome::not_executed,
-                        settings_.heartbeat_interval / millisecond);
+    throw request_error(errc::unreachable, "the cluster view is not synchronized with the control nodes",
+                        execution_outcome::not_executed, settings_.heartbeat_interval / millisecond);
 }
 
 auto storage_node::on_notification(const connection_ptr& from, const value& notification) -> void {
@@ -167,7 +167,7 @@
   } catch (const decode_error& error) {
     if (command.reply)
       command.reply->fail({errc::malformed, error.what()});
-    reachridge::log(log_level::warning, settings_.name, std::string("malformed command: ") + error.what());
+    reachridge::log(log_level::warning, settings_.name, std::string("malformed client request: ") + error.what());
   }
 }
 
@@ -188,8 +188,8 @@
 
 auto storage_node::reject_not_held(const client_command& command) -> void {
   if (command.reply) {
-    command.reply->fail({errc::not_primary, command.partition + " is not held here", execution_outcome::not_executed,
-                         settings_.heartbeat_interval / millisecond});
+    command.reply->fail({errc::not_primary, command.partition + " has no replica on this node",
+                         execution_outcome::not_executed, settings_.heartbeat_interval / millisecond});
   } else if (command.operation == client_operation::subscribe) {
     auto request = decode_subscribe_request(command.request);
     command.gateway->send(
@@ -207,8 +207,9 @@
   const auto is_leased = session.is_synchronized() && session.has_lease();
   if (!leaving_ && is_leased && !host_.disk()->failed())
     co_return http_response{200, {}, "ready\n"};
-  throw request_error(errc::not_ready, leaving_ ? "leaving" : "no lease stands", execution_outcome::not_executed,
-                      settings_.failure_timeout / millisecond);
+  throw request_error(errc::not_ready,
+                      leaving_ ? "leaving" : "the node is not synchronized, has no lease or its disk has failed",
+                      execution_outcome::not_executed, settings_.failure_timeout / millisecond);
 }
 
 }  // namespace reachridge
