--- a/tools/simulator/copies_test.cpp
+++ b/tools/simulator/copies_test.cpp
@@ -1,9 +1,10 @@
-// Copies of a partition: what a backup takes in, and where several of them stand (design 6.6, 6.11).
+// Tests of partition replicas: the snapshots and entries that a backup accepts, and replica placement
+// (design 6.6, 6.11).
 #include "runtime/log.hpp"
 #include "simulator/fleet.hpp"
 #include "storage/partition_state.hpp"
 
-// After all others: it redefines new.
+// Must be the last include because CppUTest redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 using namespace reachridge;
@@ -14,35 +15,35 @@
 const auto foreign_primary = std::string("comb-9/x");
 const auto partition_id = std::string("alerts/0");
 
-auto calm_shape() -> fleet_shape {
-  auto out = fleet_shape();
-  out.clients = 0;
-  return out;
+auto shape_without_clients() -> fleet_shape {
+  auto shape = fleet_shape();
+  shape.clients = 0;
+  return shape;
 }
 
-auto three_copies() -> fleet_shape {
-  auto out = fleet_shape();
-  out.storage_nodes = 8;
-  out.control_nodes = 5;
-  out.zones = 4;
-  out.keep_low = out.keep;
-  out.settings["copies"] = "3";
-  return out;
+auto shape_with_three_replicas() -> fleet_shape {
+  auto shape = fleet_shape();
+  shape.storage_nodes = 8;
+  shape.control_nodes = 5;
+  shape.zones = 4;
+  shape.keep_low = shape.keep;
+  shape.settings["copies"] = "3";
+  return shape;
 }
 
-auto join_frame(std::int64_t join) -> value {
+auto join_message(std::int64_t join) -> value {
   return object{{"op", "c.join"},          {"cell", partition_id}, {"epoch", foreign_epoch},
                 {"from", foreign_primary}, {"join", join},         {"last", 0}};
 }
 
-// The whole state of an empty partition at this index, in one part.
-auto copy_frame(std::int64_t join, std::int64_t index) -> value {
+// Returns the snapshot of an empty partition at this index as a single chunk.
+auto snapshot_message(std::int64_t join, std::int64_t index) -> value {
   auto bytes = encode_with_checksum(
       object{{"format", 1}, {"idx", index}, {"epoch", foreign_epoch}, {"state", partition_state().take_snapshot()}});
   auto hex = std::string();
-  for (auto ch : bytes) {
-    hex += "0123456789abcdef"[static_cast<unsigned char>(ch) >> 4];
-    hex += "0123456789abcdef"[static_cast<unsigned char>(ch) & 15];
+  for (auto byte : bytes) {
+    hex += "0123456789abcdef"[static_cast<unsigned char>(byte) >> 4];
+    hex += "0123456789abcdef"[static_cast<unsigned char>(byte) & 15];
   }
   return object{{"op", "c.copy"},         {"cell", partition_id},
                 {"epoch", foreign_epoch}, {"from", foreign_primary},
@@ -50,7 +51,7 @@
                 {"bytes", hex},           {"end", true}};
 }
 
-auto log_frame(std::int64_t previous) -> value {
+auto log_message(std::int64_t previous) -> value {
   auto rows = array{object{{"v", foreign_epoch}, {"g", true}, {"e", object{{"k", "c"}, {"d", 1}}}}};
   return object{{"op", "c.log"},
                 {"cell", partition_id},
@@ -61,135 +62,138 @@
                 {"rows", rows}};
 }
 
-auto node_without_copy(const fleet& f) -> std::string {
-  auto members = f.in_step(partition_id);
-  for (const auto& n : f.names("comb"))
-    if (std::find(members.begin(), members.end(), n) == members.end())
-      return n;
+auto node_without_replica(const fleet& cluster) -> std::string {
+  auto members = cluster.in_sync_nodes(partition_id);
+  for (const auto& name : cluster.names("comb"))
+    if (std::find(members.begin(), members.end(), name) == members.end())
+      return name;
   return {};
 }
 
-auto zones_of(const fleet& f, const std::vector<std::string>& nodes) -> std::set<std::string> {
-  auto out = std::set<std::string>();
-  for (const auto& n : nodes)
-    out.insert(f.processes.at(n)->machine->zone);
-  return out;
+auto zones_of(const fleet& cluster, const std::vector<std::string>& nodes) -> std::set<std::string> {
+  auto zones = std::set<std::string>();
+  for (const auto& name : nodes)
+    zones.insert(cluster.processes.at(name)->machine->zone);
+  return zones;
 }
 
-// Has each partition of the clients' spaces, all of which keep messages, so many copies in step?
-auto whole(const fleet& f, std::size_t copies) -> bool {
-  const auto& any = *f.processes.at(f.names("comb").front());
-  if (!any.storage)
+// Returns whether each partition of the clients' spaces, all of which retain messages, has this many in-sync replicas.
+auto has_replicas(const fleet& cluster, std::size_t replica_count) -> bool {
+  const auto& any_node = *cluster.processes.at(cluster.names("comb").front());
+  if (!any_node.storage)
     return false;
-  const auto& cells = any.storage->session.view.partitions;
-  return !cells.empty() && std::all_of(cells.begin(), cells.end(), [&](const auto& c) {
-    return c.first.starts_with("probe/") || c.second.in_sync_replicas.size() == copies;
+  const auto& partitions = any_node.storage->session.view.partitions;
+  return !partitions.empty() && std::all_of(partitions.begin(), partitions.end(), [&](const auto& entry) {
+    return entry.first.starts_with("probe/") || entry.second.in_sync_replicas.size() == replica_count;
   });
 }
 
-auto acknowledged(const fleet& f) -> std::int64_t {
-  auto out = std::int64_t{0};
-  for (const auto& [answer, count] : f.observed.counts)
+auto acknowledged_publishes(const fleet& cluster) -> std::int64_t {
+  auto total = std::int64_t{0};
+  for (const auto& [answer, count] : cluster.observed.counts)
     if (answer.ends_with("acked"))
-      out += count;
-  return out;
+      total += count;
+  return total;
 }
 
 }  // namespace
 
 TEST_GROUP(partition_copies){};
 
-// A link that was given up may bring its bytes late: a copy begun before the last join would undo what came since.
-TEST(partition_copies, a_copy_of_an_earlier_join_is_refused) {
-  auto f = fleet(81, calm_shape());
-  CHECK(f.begin());
-  auto node = node_without_copy(f);
-  auto address = f.processes.at(node)->settings.address;
-  auto code = std::make_shared<std::string>("none");
-  f.operator_tasks->spawn([](fleet& fl, std::string to, std::shared_ptr<std::string> said) -> task<void> {
-    auto old = peer_connection(*fl.outside, peer_connection::options{"old", to, 100 * millisecond, second});
-    auto fresh = peer_connection(*fl.outside, peer_connection::options{"fresh", to, 100 * millisecond, second});
-    while (!old.is_up() || !fresh.is_up())
-      co_await sleep_for(*fl.outside, millisecond);
-    auto limit = fl.outside->now() + second;
-    co_await old.call(join_frame(1), limit);
-    co_await old.call(copy_frame(1, 5), limit);
-    fresh.send(log_frame(5));
-    fresh.send(log_frame(6));
-    co_await sleep_for(*fl.outside, 100 * millisecond);
-    co_await fresh.call(join_frame(2), limit);
+// An abandoned connection may deliver its bytes late. A snapshot from before the last join would undo later entries.
+TEST(partition_copies, a_snapshot_of_an_earlier_join_is_refused) {
+  auto cluster = fleet(81, shape_without_clients());
+  CHECK(cluster.begin());
+  auto node = node_without_replica(cluster);
+  auto address = cluster.processes.at(node)->settings.address;
+  auto refusal_code = std::make_shared<std::string>("none");
+  cluster.operator_tasks->spawn([](fleet& fleet_, std::string node_address,
+                                   std::shared_ptr<std::string> reply_code) -> task<void> {
+    auto old_connection =
+        peer_connection(*fleet_.outside, peer_connection::options{"old", node_address, 100 * millisecond, second});
+    auto new_connection =
+        peer_connection(*fleet_.outside, peer_connection::options{"fresh", node_address, 100 * millisecond, second});
+    while (!old_connection.is_up() || !new_connection.is_up())
+      co_await sleep_for(*fleet_.outside, millisecond);
+    auto limit = fleet_.outside->now() + second;
+    co_await old_connection.call(join_message(1), limit);
+    co_await old_connection.call(snapshot_message(1, 5), limit);
+    new_connection.send(log_message(5));
+    new_connection.send(log_message(6));
+    co_await sleep_for(*fleet_.outside, 100 * millisecond);
+    co_await new_connection.call(join_message(2), limit);
     try {
-      co_await old.call(copy_frame(1, 5), limit);
-      *said = "taken";
-    } catch (const request_error& v) {
-      *said = v.code_text();
+      co_await old_connection.call(snapshot_message(1, 5), limit);
+      *reply_code = "taken";
+    } catch (const request_error& error) {
+      *reply_code = error.code_text();
     }
-  }(f, address, code));
-  f.network.run(f.network.clock + 900 * millisecond);
-  STRCMP_EQUAL("old", code->c_str());
-  const auto* copy = f.processes.at(node)->storage->held_partition(partition_id);
-  CHECK(copy != nullptr);
-  LONGS_EQUAL(7, get_int(copy->status(), "last"));
-  LONGS_EQUAL(7, get_int(copy->status(), "solid"));
+  }(cluster, address, refusal_code));
+  cluster.network.run(cluster.network.clock + 900 * millisecond);
+  STRCMP_EQUAL("old", refusal_code->c_str());
+  const auto* replica = cluster.processes.at(node)->storage->held_partition(partition_id);
+  CHECK(replica != nullptr);
+  LONGS_EQUAL(7, get_int(replica->status(), "last"));
+  LONGS_EQUAL(7, get_int(replica->status(), "solid"));
 }
 
-TEST(partition_copies, three_stand_in_three_zones_from_the_start) {
-  auto f = fleet(82, three_copies());
-  CHECK(f.begin());
-  CHECK(whole(f, 3));
-  for (const auto& [id, row] : f.processes.at("comb-1")->storage->session.view.partitions)
+TEST(partition_copies, three_replicas_are_in_three_zones_from_the_start) {
+  auto cluster = fleet(82, shape_with_three_replicas());
+  CHECK(cluster.begin());
+  CHECK(has_replicas(cluster, 3));
+  for (const auto& [id, assignment] : cluster.processes.at("comb-1")->storage->session.view.partitions)
     if (!id.starts_with("probe/"))
-      LONGS_EQUAL(3, zones_of(f, f.in_step(id)).size());
+      LONGS_EQUAL(3, zones_of(cluster, cluster.in_sync_nodes(id)).size());
 }
 
-// A silent backup holds outputs for no longer than its silence needs to be known, and another takes its place.
-TEST(partition_copies, a_silent_one_of_three_is_passed_over_and_replaced) {
+// A silent backup delays acknowledgements only until the failure timeout detects it. Then another node replaces it.
+TEST(partition_copies, a_silent_backup_of_three_replicas_is_replaced) {
   for (auto seed = 83; seed <= 86; ++seed) {
-    auto f = fleet(static_cast<std::uint64_t>(seed), three_copies());
-    CHECK(f.begin());
-    auto set = f.processes.at("comb-1")->settings;
-    auto primary = f.primary_of(partition_id), silent = f.in_step(partition_id).back();
-    f.freeze(silent, true);
-    auto from = f.network.clock;
-    auto shrunk = monotonic_time{0}, restored = monotonic_time{0};
-    while (f.network.clock < from + 10 * second && restored == 0) {
-      f.network.run(f.network.clock + 10 * millisecond);
-      auto status = f.processes.at(primary)->storage->held_partition(partition_id)->status();
+    auto cluster = fleet(static_cast<std::uint64_t>(seed), shape_with_three_replicas());
+    CHECK(cluster.begin());
+    auto settings = cluster.processes.at("comb-1")->settings;
+    auto primary = cluster.primary_of(partition_id), silent_backup = cluster.in_sync_nodes(partition_id).back();
+    cluster.freeze(silent_backup, true);
+    auto frozen_at = cluster.network.clock;
+    auto shrunk_at = monotonic_time{0}, restored_at = monotonic_time{0};
+    while (cluster.network.clock < frozen_at + 10 * second && restored_at == 0) {
+      cluster.network.run(cluster.network.clock + 10 * millisecond);
+      auto status = cluster.processes.at(primary)->storage->held_partition(partition_id)->status();
       auto backups = get_array(status, "backups").size();
-      if (backups == 1 && shrunk == 0)
-        shrunk = f.network.clock;
-      if (shrunk > 0 && backups == 2)
-        restored = f.network.clock;
+      if (backups == 1 && shrunk_at == 0)
+        shrunk_at = cluster.network.clock;
+      if (shrunk_at > 0 && backups == 2)
+        restored_at = cluster.network.clock;
     }
-    CHECK(shrunk > 0);
-    CHECK(shrunk - from <= set.failure_timeout + 3 * set.heartbeat_interval);
-    CHECK(restored > 0);
-    CHECK(restored - from <= set.failure_timeout * 3);
-    STRCMP_EQUAL(primary.c_str(), f.primary_of(partition_id).c_str());
+    CHECK(shrunk_at > 0);
+    CHECK(shrunk_at - frozen_at <= settings.failure_timeout + 3 * settings.heartbeat_interval);
+    CHECK(restored_at > 0);
+    CHECK(restored_at - frozen_at <= settings.failure_timeout * 3);
+    STRCMP_EQUAL(primary.c_str(), cluster.primary_of(partition_id).c_str());
   }
 }
 
-// What a primary has released is on the disk of each backup in step, also of one whose disk is slow: any of them may be
-// the only one that is left.
-TEST(partition_copies, each_backup_has_synced_what_was_released) {
+// Entries that a primary has released are on the disk of each in-sync backup, even if that disk is slow, because any
+// backup may be the only surviving replica.
+TEST(partition_copies, each_backup_has_synced_the_released_entries) {
   for (auto seed = 91; seed <= 94; ++seed) {
-    auto form = three_copies();
-    form.every = 50 * millisecond;
-    form.clients = 16;
-    auto f = fleet(static_cast<std::uint64_t>(seed), form);
-    CHECK(f.begin());
-    auto members = f.in_step(partition_id);
+    auto shape = shape_with_three_replicas();
+    shape.every = 50 * millisecond;
+    shape.clients = 16;
+    auto cluster = fleet(static_cast<std::uint64_t>(seed), shape);
+    CHECK(cluster.begin());
+    auto members = cluster.in_sync_nodes(partition_id);
     LONGS_EQUAL(3, members.size());
-    const auto* primary = f.processes.at(members.front())->storage->held_partition(partition_id);
-    for (auto slow = std::size_t{1}; slow < members.size(); ++slow) {
+    const auto* primary = cluster.processes.at(members.front())->storage->held_partition(partition_id);
+    for (auto slow_index = std::size_t{1}; slow_index < members.size(); ++slow_index) {
       for (auto i = std::size_t{1}; i < members.size(); ++i)
-        f.processes.at(members[i])->machine->sync_cost = (i == slow ? 60 : 3) * millisecond;
+        cluster.processes.at(members[i])->machine->sync_cost = (i == slow_index ? 60 : 3) * millisecond;
       auto released_before = get_int(primary->status(), "spoken");
-      for (auto end = f.network.clock + 2 * second; f.network.clock < end;) {
-        f.network.run(f.network.clock + millisecond);
+      for (auto end = cluster.network.clock + 2 * second; cluster.network.clock < end;) {
+        cluster.network.run(cluster.network.clock + millisecond);
         auto released = get_int(primary->status(), "spoken");
         for (auto i = std::size_t{1}; i < members.size(); ++i) {
-          const auto* backup = f.processes.at(members[i])->storage->held_partition(partition_id);
+          const auto* backup = cluster.processes.at(members[i])->storage->held_partition(partition_id);
           CHECK(get_int(backup->status(), "solid") >= released);
         }
       }
@@ -198,15 +202,15 @@
   }
 }
 
-// With fewer nodes than copies wanted, partitions run with what there is, and refuse nothing for want of more.
-TEST(partition_copies, two_nodes_serve_though_three_are_wanted) {
-  auto form = three_copies();
-  form.storage_nodes = 2;
-  form.zones = 2;
-  auto f = fleet(87, form);
-  CHECK(f.begin());
-  CHECK(whole(f, 2));
-  f.network.run(f.network.clock + 5 * second);
-  CHECK(whole(f, 2));
-  CHECK(acknowledged(f) > 0);
+// With fewer nodes than configured replicas, partitions run with the available nodes and accept requests.
+TEST(partition_copies, two_nodes_serve_with_three_configured_replicas) {
+  auto shape = shape_with_three_replicas();
+  shape.storage_nodes = 2;
+  shape.zones = 2;
+  auto cluster = fleet(87, shape);
+  CHECK(cluster.begin());
+  CHECK(has_replicas(cluster, 2));
+  cluster.network.run(cluster.network.clock + 5 * second);
+  CHECK(has_replicas(cluster, 2));
+  CHECK(acknowledged_publishes(cluster) > 0);
 }
--- a/tools/simulator/durability_audit.cpp
+++ b/tools/simulator/durability_audit.cpp
@@ -7,16 +7,17 @@
 namespace reachridge {
 namespace {
 
-constexpr auto index_base = 16;  // entries are keyed by their index in hexadecimal
+constexpr auto index_base = 16;  // the keys of entries contain the index in hexadecimal
 
-// Up to which index the disk holds the partition without a gap: its snapshot and the entries that follow it.
+// Returns the index up to which the disk holds the partition without a gap: the snapshot and the entries after it.
 auto contiguous_index(const std::map<std::string, std::string>& disk, const std::string& partition) -> std::int64_t {
   auto index = std::int64_t{0};
   if (auto snapshot = disk.find("C/" + partition + "/s"); snapshot != disk.end()) {
     try {
       index = get_int(decode_with_checksum(snapshot->second), "idx");
     } catch (const decode_error&) {
-      return std::numeric_limits<std::int64_t>::max();  // damaged on purpose: found when it is next read
+      return std::numeric_limits<std::int64_t>::max();  // damaged by an injected fault; the node detects the damage on
+                                                        // its next read
     }
   }
   auto prefix = "C/" + partition + "/e/";
@@ -35,23 +36,24 @@
 
 }  // namespace
 
-auto undurable_copy(const fleet& fleet) -> std::string {
-  for (const auto& [name, process] : fleet.processes) {
+auto find_undurable_replica(const fleet& target) -> std::string {
+  for (const auto& [name, process] : target.processes) {
     if (!process->storage)
       continue;
     auto status = process->storage->status();
     for (const auto& row : get_value(status, "cells").as_object()) {
-      const auto& copy = row.value();
-      if (get_bool(copy, "broken"))
-        continue;  // offers nothing: it is made anew by its primary
+      const auto& replica = row.value();
+      if (get_bool(replica, "broken"))
+        continue;  // a damaged replica offers nothing; its primary copies the partition again
       auto partition = std::string(row.key());
-      auto synced = get_int(copy, "solid");
-      auto held = contiguous_index(process->machine->durable, partition);
-      // A partition founded again begins at its root before that is written; nothing was said there yet.
-      if (held >= synced || synced <= get_int(copy, "root"))
+      auto durable_index = get_int(replica, "solid");
+      auto index_on_disk = contiguous_index(process->machine->durable, partition);
+      // A partition that is created again reports its base index before the base is written. It has acknowledged
+      // nothing yet.
+      if (index_on_disk >= durable_index || durable_index <= get_int(replica, "root"))
         continue;
-      return name + " counts " + partition + " as synced up to " + std::to_string(synced) +
-             ", its disk holds it up to " + std::to_string(held);
+      return name + " counts " + partition + " as synced up to " + std::to_string(durable_index) +
+             ", its disk holds it up to " + std::to_string(index_on_disk);
     }
   }
   return {};
--- a/tools/simulator/durability_audit.hpp
+++ b/tools/simulator/durability_audit.hpp
@@ -1,4 +1,5 @@
-// An invariant of simulated fleets: what a copy of a partition counts as synced is on its disk (design 9.2).
+// An invariant of simulated fleets: the disk of a partition replica holds every entry that the replica counts as
+// durable (design 9.2).
 #pragma once
 #include <string>
 
@@ -6,8 +7,8 @@
 
 namespace reachridge {
 
-// Compares the durable index of each running copy with the rows of its disk. Returns the first copy whose disk lacks an
-// entry that the copy has told as synced, with the entry's index; empty if there is none.
-auto undurable_copy(const fleet& fleet) -> std::string;
+// Compares the durable index of each running replica with the rows on its disk. Returns a description of the first
+// replica whose disk lacks an entry up to that index, with both indexes. Returns an empty text if no entry is missing.
+auto find_undurable_replica(const fleet& target) -> std::string;
 
 }  // namespace reachridge
--- a/tools/simulator/fault_injector.cpp
+++ b/tools/simulator/fault_injector.cpp
@@ -9,14 +9,15 @@
 namespace reachridge {
 namespace {
 
-constexpr auto restart_interval = 8 * second;  // from one node's stop to the next one's, unless the scenario says so
+constexpr auto restart_interval = 8 * second;  // between the stops of two nodes if the scenario has no duration
 constexpr auto restart_downtime = 6 * second;
-constexpr auto restart_grace = 4 * second;  // from SIGTERM to SIGKILL
-constexpr auto drain_limit = 30 * second;   // how long an operator waits for a drain
-constexpr auto random_drain_limit = 120 * second;
-constexpr auto storage_nodes_that_stay = std::size_t{5};  // a random drain leaves one fewer
-constexpr auto seed_list_lag = 3 * second;                // a list of seeds names a new machine so much later
-constexpr auto probed_versions = std::int64_t{5};
+constexpr auto restart_grace = 4 * second;   // from SIGTERM to SIGKILL
+constexpr auto drain_timeout = 30 * second;  // time that an operator waits for a drain
+constexpr auto random_drain_timeout = 120 * second;
+constexpr auto least_storage_nodes_to_drain = std::size_t{5};  // a random drain requires this many
+// From the start of a replacement control node to its entry in the seed list.
+constexpr auto seed_list_delay = 3 * second;
+constexpr auto probed_configurations = std::int64_t{5};
 
 }  // namespace
 
@@ -26,7 +27,7 @@
       {"kill", {1, &self::kill}},
       {"start", {1, &self::start}},
       {"terminate", {1, &self::terminate}},
-      {"rolling_restart", {1, &self::restart_one_by_one}},
+      {"rolling_restart", {1, &self::rolling_restart}},
       {"freeze", {1, &self::freeze}},
       {"change_setting", {3, &self::change_setting}},
       {"power_off", {1, &self::power_off}},
@@ -37,7 +38,7 @@
       {"replace", {1, &self::replace}},
       {"lose_disk", {1, &self::lose_disk}},
       {"lose_spare_disk", {1, &self::lose_spare_disk}},
-      {"lose_disks", {2, &self::lose_disks_at_once}},
+      {"lose_disks", {2, &self::lose_disks_and_power}},
       {"flip_bits", {2, &self::flip_bits}},
       {"flip_spare_bits", {2, &self::flip_spare_bits}},
       {"fill_disk", {1, &self::fill_disk}},
@@ -52,7 +53,7 @@
       {"configure_invalid", {0, &self::configure}},
       {"configure_race", {0, &self::configure}},
       {"configure_often", {2, &self::configure_often}},
-      {"probe", {0, &self::probe_configurations}},
+      {"probe", {0, &self::probe_recent_configurations}},
       {"order", {2, &self::order_once}},
       {"drain", {2, &self::drain}},
       {"drain_any", {0, &self::drain_any_storage_node}},
@@ -78,30 +79,30 @@
   (this->*commands().at(fault.verb).run)(fault);
 }
 
-auto fault_injector::fault_begins() -> void {
-  if (active_faults_++ == 0)
+auto fault_injector::on_fault_started() -> void {
+  if (active_fault_count_++ == 0)
     fleet_.observed.note(*fleet_.outside, object{{"e", "hurt"}});
 }
 
-auto fault_injector::fault_ends() -> void {
-  if (active_faults_ > 0 && --active_faults_ == 0)
+auto fault_injector::on_fault_ended() -> void {
+  if (active_fault_count_ > 0 && --active_fault_count_ == 0)
     fleet_.observed.note(*fleet_.outside, object{{"e", "mend"}});
 }
 
 auto fault_injector::end_after(monotonic_time duration, std::function<void()> end) -> void {
-  fault_begins();
+  on_fault_started();
   if (duration <= 0)
     return;
   fleet_.network.schedule(fleet_.network.clock + duration, [this, end = std::move(end)] {
     end();
-    fault_ends();
+    on_fault_ended();
   });
 }
 
 // Processes.
 
 auto fault_injector::kill(const scheduled_fault& fault) -> void {
-  for (const auto& node : nodes_meant(fault.args[0])) {
+  for (const auto& node : selected_nodes(fault.args[0])) {
     fleet_.kill(node);
     end_after(fault.duration, [this, node] {
       fleet_.start(node);
@@ -110,15 +111,15 @@
 }
 
 auto fault_injector::start(const scheduled_fault& fault) -> void {
-  for (const auto& node : nodes_meant(fault.args[0])) {
+  for (const auto& node : selected_nodes(fault.args[0])) {
     fleet_.start(node);
-    fault_ends();
+    on_fault_ended();
   }
 }
 
-// SIGTERM, and SIGKILL one to five seconds later.
+// Sends SIGTERM, then SIGKILL after a random time from one to five seconds.
 auto fault_injector::terminate(const scheduled_fault& fault) -> void {
-  for (const auto& node : nodes_meant(fault.args[0])) {
+  for (const auto& node : selected_nodes(fault.args[0])) {
     auto grace = second + static_cast<monotonic_time>(fleet_.network.random_engine() % (4 * second));
     fleet_.term(node, grace);
     end_after(fault.duration, [this, node] {
@@ -127,9 +128,10 @@
   }
 }
 
-// One after another, at the platform's pace: stop gently, then firmly, start, go on.
-auto fault_injector::restart_one_by_one(const scheduled_fault& fault) -> void {
-  auto nodes = nodes_meant(fault.args[0]);
+// Restarts the nodes one after another at the platform's pace: SIGTERM, SIGKILL after the grace period, start, next
+// node.
+auto fault_injector::rolling_restart(const scheduled_fault& fault) -> void {
+  auto nodes = selected_nodes(fault.args[0]);
   if (nodes.empty())
     return;
   auto& network = fleet_.network;
@@ -149,7 +151,7 @@
 }
 
 auto fault_injector::freeze(const scheduled_fault& fault) -> void {
-  for (const auto& node : nodes_meant(fault.args[0])) {
+  for (const auto& node : selected_nodes(fault.args[0])) {
     fleet_.freeze(node, true);
     end_after(fault.duration, [this, node] {
       fleet_.freeze(node, false);
@@ -158,7 +160,7 @@
 }
 
 auto fault_injector::change_setting(const scheduled_fault& fault) -> void {
-  for (const auto& node : nodes_meant(fault.args[0])) {
+  for (const auto& node : selected_nodes(fault.args[0])) {
     auto taken = fleet_.change_setting(node, fault.args[1], fault.args[2]);
     ++counts_[taken ? "settings_taken" : "settings_refused"];
   }
@@ -167,19 +169,19 @@
 // Machines.
 
 auto fault_injector::power_off(const scheduled_fault& fault) -> void {
-  auto where = place_meant(fault.args[0]);
+  auto place = selected_place(fault.args[0]);
   if (fault.args[0] == "all")
-    where = "all";
-  fleet_.power(where, false);
-  end_after(fault.duration, [this, where] {
-    fleet_.power(where, true);
-    if (where == "all")
+    place = "all";
+  fleet_.power(place, false);
+  end_after(fault.duration, [this, place] {
+    fleet_.power(place, true);
+    if (place == "all")
       ++counts_["back"];
   });
 }
 
 auto fault_injector::slow_down(const scheduled_fault& fault) -> void {
-  for (const auto& node : nodes_meant(fault.args[0])) {
+  for (const auto& node : selected_nodes(fault.args[0])) {
     auto* slow_machine = fleet_.processes.at(node)->machine;
     slow_machine->slowdown = parse_number(fault.args[1]);
     end_after(fault.duration, [slow_machine] {
@@ -188,10 +190,10 @@
   }
 }
 
-// The time of day jumps by so many seconds, and back at the end.
+// Steps the wall clock of a machine by the given seconds and steps it back when the fault ends.
 auto fault_injector::step_clock(const scheduled_fault& fault) -> void {
   auto step_ms = static_cast<std::int64_t>(parse_number(fault.args[1]) * 1000);
-  for (const auto& node : nodes_meant(fault.args[0])) {
+  for (const auto& node : selected_nodes(fault.args[0])) {
     auto* stepped_machine = fleet_.processes.at(node)->machine;
     stepped_machine->clock_offset_ms += step_ms;
     end_after(fault.duration, [stepped_machine, step_ms] {
@@ -210,9 +212,9 @@
   fleet_.start("forager-" + number);
 }
 
-// A machine goes for good; an empty one comes at another address.
+// Removes a machine permanently and starts an empty machine at another address.
 auto fault_injector::replace(const scheduled_fault& fault) -> void {
-  for (const auto& node : nodes_meant(fault.args[0])) {
+  for (const auto& node : selected_nodes(fault.args[0])) {
     auto is_control_node = fleet_.processes.at(node)->kind == "queen";
     fleet_.remove(node);
     end_after(fault.duration ? fault.duration : 2 * second, [this, node, is_control_node] {
@@ -220,7 +222,7 @@
       fleet_.start(successor);
       if (!is_control_node)
         return;
-      fleet_.network.schedule(fleet_.network.clock + seed_list_lag, [this, node, successor] {
+      fleet_.network.schedule(fleet_.network.clock + seed_list_delay, [this, node, successor] {
         fleet_.relist(node, successor);
       });
     });
@@ -229,7 +231,7 @@
 
 // Disks.
 
-auto fault_injector::lose_disk_of(const std::string& node, monotonic_time duration) -> void {
+auto fault_injector::lose_node_disk(const std::string& node, monotonic_time duration) -> void {
   ++counts_["disks_lost"];
   fleet_.kill(node);
   fleet_.lose_disk(node);
@@ -239,24 +241,24 @@
 }
 
 auto fault_injector::lose_disk(const scheduled_fault& fault) -> void {
-  for (const auto& node : nodes_meant(fault.args[0]))
-    lose_disk_of(node, fault.duration);
+  for (const auto& node : selected_nodes(fault.args[0]))
+    lose_node_disk(node, fault.duration);
 }
 
-// Only where all replicas are in sync, so that nothing is lost with the disk.
+// Loses the disk only if enough in-sync replicas exist elsewhere, because committed data would be lost otherwise.
 auto fault_injector::lose_spare_disk(const scheduled_fault& fault) -> void {
-  for (const auto& node : nodes_meant(fault.args[0]))
+  for (const auto& node : selected_nodes(fault.args[0]))
     if (fleet_.survives_disk_loss(node))
-      lose_disk_of(node, fault.duration);
+      lose_node_disk(node, fault.duration);
 }
 
-// All machines lose power at once, and so many of the disks in sync of a partition are lost, its primary's first; only
-// where all that is kept has to survive that.
-auto fault_injector::lose_disks_at_once(const scheduled_fault& fault) -> void {
+// Takes power from all machines at once and loses the disks of several in-sync replicas of a partition, starting with
+// the primary's. Does nothing if retained messages would not survive these losses.
+auto fault_injector::lose_disks_and_power(const scheduled_fault& fault) -> void {
   auto losses = static_cast<std::int64_t>(parse_number(fault.args[1]));
-  if (!fleet_.survives_losses(losses))
+  if (!fleet_.survives_disk_losses(losses))
     return;
-  auto members = fleet_.in_step(fault.args[0]);
+  auto members = fleet_.in_sync_nodes(fault.args[0]);
   fleet_.power("all", false);
   for (auto i = std::size_t{0}; i < members.size() && i < static_cast<std::size_t>(losses); ++i) {
     fleet_.lose_disk(members[i]);
@@ -268,7 +270,7 @@
   });
 }
 
-auto fault_injector::flip_bits_of(const std::string& node, const scheduled_fault& fault) -> void {
+auto fault_injector::flip_disk_bits(const std::string& node, const scheduled_fault& fault) -> void {
   fleet_.kill(node);
   fleet_.flip_bits(node, static_cast<int>(parse_number(fault.args[1])));
   end_after(fault.duration ? fault.duration : second, [this, node] {
@@ -277,18 +279,18 @@
 }
 
 auto fault_injector::flip_bits(const scheduled_fault& fault) -> void {
-  for (const auto& node : nodes_meant(fault.args[0]))
-    flip_bits_of(node, fault);
+  for (const auto& node : selected_nodes(fault.args[0]))
+    flip_disk_bits(node, fault);
 }
 
 auto fault_injector::flip_spare_bits(const scheduled_fault& fault) -> void {
-  for (const auto& node : nodes_meant(fault.args[0]))
+  for (const auto& node : selected_nodes(fault.args[0]))
     if (fleet_.survives_disk_loss(node))
-      flip_bits_of(node, fault);
+      flip_disk_bits(node, fault);
 }
 
 auto fault_injector::fill_disk(const scheduled_fault& fault) -> void {
-  for (const auto& node : nodes_meant(fault.args[0])) {
+  for (const auto& node : selected_nodes(fault.args[0])) {
     auto* full_machine = fleet_.processes.at(node)->machine;
     full_machine->disk_full = true;
     end_after(fault.duration, [full_machine] {
@@ -303,16 +305,16 @@
   using cut_kind = simulated_network::cut_kind;
   auto kind = fault.verb == "cut_refusing" ? cut_kind::refusing : cut_kind::silent;
   auto both_ways = fault.verb != "cut_one_way";
-  auto aimed_at_first = fault.args[0] != "control_nodes";
-  auto aimed_at = place_meant(aimed_at_first ? fault.args[0] : fault.args[1]);
+  auto target_is_first = fault.args[0] != "control_nodes";
+  auto target_place = selected_place(target_is_first ? fault.args[0] : fault.args[1]);
   for (const auto& node : fleet_.names("queen"))
-    if (fleet_.processes.at(node)->machine->name == aimed_at)
+    if (fleet_.processes.at(node)->machine->name == target_place)
       isolated_ = node;
-  auto aimed_side = std::vector<std::string>{aimed_at};
-  auto other_side = places_meant(aimed_at_first ? fault.args[1] : fault.args[0], aimed_at);
+  auto target_side = std::vector<std::string>{target_place};
+  auto other_side = selected_places(target_is_first ? fault.args[1] : fault.args[0], target_place);
   auto paths = std::vector<std::pair<std::string, std::string>>();
-  for (const auto& from : aimed_at_first ? aimed_side : other_side)
-    for (const auto& to : aimed_at_first ? other_side : aimed_side) {
+  for (const auto& from : target_is_first ? target_side : other_side)
+    for (const auto& to : target_is_first ? other_side : target_side) {
       paths.emplace_back(from, to);
       if (both_ways)
         paths.emplace_back(to, from);
@@ -326,7 +328,7 @@
 }
 
 auto fault_injector::isolate(const scheduled_fault& fault) -> void {
-  auto place = place_meant(fault.args[0]);
+  auto place = selected_place(fault.args[0]);
   for (const auto& node : fleet_.names("queen")) {
     const auto& machine = *fleet_.processes.at(node)->machine;
     if (machine.name == place || machine.zone == place)
@@ -341,9 +343,9 @@
 }
 
 auto fault_injector::reset_connections(const scheduled_fault& fault) -> void {
-  fleet_.reset_links(parse_number(fault.args[0]));
-  fault_begins();
-  fault_ends();
+  fleet_.reset_client_connections(parse_number(fault.args[0]));
+  on_fault_started();
+  on_fault_ended();
 }
 
 auto fault_injector::lose_packets(const scheduled_fault& fault) -> void {
@@ -353,7 +355,7 @@
   });
 }
 
-// Operators' orders.
+// Orders of operators.
 
 auto fault_injector::configure(const scheduled_fault& fault) -> void {
   orders_.configure(fault.verb);
@@ -363,65 +365,65 @@
   orders_.configure_often(static_cast<std::int64_t>(parse_number(fault.args[0])), parse_seconds(fault.args[1]));
 }
 
-auto fault_injector::probe_configurations(const scheduled_fault&) -> void {
+auto fault_injector::probe_recent_configurations(const scheduled_fault&) -> void {
   auto newest = fleet_.configuration_number;
-  auto oldest = std::max<std::int64_t>(1, newest - probed_versions);
+  auto oldest = std::max<std::int64_t>(1, newest - probed_configurations);
   fleet_.operate([oldest, newest](operator_client& client) -> task<void> {
     co_await client.probe_all(oldest, newest);
   });
 }
 
 auto fault_injector::order_once(const scheduled_fault& fault) -> void {
-  for (const auto& node : nodes_meant(fault.args[0]))
+  for (const auto& node : selected_nodes(fault.args[0]))
     orders_.send_once(node, fault.args[1]);
 }
 
 auto fault_injector::drain(const scheduled_fault& fault) -> void {
-  auto deadline = fleet_.network.clock + (fault.duration ? fault.duration : drain_limit);
-  for (const auto& node : nodes_meant(fault.args[0]))
+  auto deadline = fleet_.network.clock + (fault.duration ? fault.duration : drain_timeout);
+  for (const auto& node : selected_nodes(fault.args[0]))
     orders_.drain(node, fault.args[1], deadline);
 }
 
-// One storage node goes for good while enough stay.
+// Evacuates one random storage node permanently, provided that enough other storage nodes remain.
 auto fault_injector::drain_any_storage_node(const scheduled_fault& fault) -> void {
-  auto staying = std::vector<std::string>();
+  auto candidates = std::vector<std::string>();
   for (const auto& node : fleet_.names("comb"))
     if (!drained_.count(node))
-      staying.push_back(node);
-  if (staying.size() < storage_nodes_that_stay)
+      candidates.push_back(node);
+  if (candidates.size() < least_storage_nodes_to_drain)
     return;
   auto order = fault;
   order.verb = "drain";
-  order.args = {any_of(staying), "evacuate"};
-  order.duration = random_drain_limit;
+  order.args = {draw_node(candidates), "evacuate"};
+  order.duration = random_drain_timeout;
   order.sweep_step = 0;
   drained_.insert(order.args[0]);
   inject(order);
 }
 
 auto fault_injector::evacuate_zone(const scheduled_fault& fault) -> void {
-  auto deadline = fleet_.network.clock + (fault.duration ? fault.duration : drain_limit);
+  auto deadline = fleet_.network.clock + (fault.duration ? fault.duration : drain_timeout);
   orders_.evacuate_zone(fault.args[0], deadline);
 }
 
-auto fault_injector::lose_another_disk(const std::string& retired) -> void {
+auto fault_injector::lose_another_disk(const std::string& retired_node) -> void {
   auto others = std::vector<std::string>();
   for (const auto& node : fleet_.names("comb"))
-    if (node != retired && fleet_.processes.at(node)->up())
+    if (node != retired_node && fleet_.processes.at(node)->up())
       others.push_back(node);
-  auto other = any_of(others);
+  auto other = draw_node(others);
   if (other.empty() || !fleet_.survives_disk_loss(other))
     return;
-  lose_disk_of(other, second);
+  lose_node_disk(other, second);
 }
 
-// A storage node is retired. Right after the order is accepted, or right after it has completed, the disk of another
-// storage node is lost; once completed, the retired machine goes for good with its disk.
+// Retires a storage node and loses the disk of another storage node, either right after the order is accepted or right
+// after it has completed. The machine of the retired node is removed together with its disk after completion.
 auto fault_injector::retire_and_lose_disk(const scheduled_fault& fault) -> void {
   const auto& moment = fault.args[1];
   if (moment != "accepted" && moment != "completed")
     throw request_error(errc::invalid_scenario, "'" + moment + "' is no moment of a retirement: accepted or completed");
-  for (const auto& node : nodes_meant(fault.args[0])) {
+  for (const auto& node : selected_nodes(fault.args[0])) {
     auto lose_another = [this, node] {
       lose_another_disk(node);
     };
@@ -433,66 +435,66 @@
   }
 }
 
-// What arguments mean.
+// Selection of nodes and places by arguments.
 
-auto fault_injector::any_of(const std::vector<std::string>& nodes) -> std::string {
+auto fault_injector::draw_node(const std::vector<std::string>& nodes) -> std::string {
   return nodes.empty() ? "" : nodes[fleet_.network.random_engine() % nodes.size()];
 }
 
-auto fault_injector::control_node_other_than(const std::string& excluded) -> std::string {
+auto fault_injector::draw_other_control_node(const std::string& excluded) -> std::string {
   auto others = std::vector<std::string>();
   for (const auto& node : fleet_.names("queen"))
     if (fleet_.processes.at(node)->up() && node != excluded)
       others.push_back(node);
-  return any_of(others);
+  return draw_node(others);
 }
 
-auto fault_injector::running_node_of(const std::string& kind) -> std::string {
+auto fault_injector::draw_running_node(const std::string& kind) -> std::string {
   auto running = std::vector<std::string>();
   for (const auto& node : fleet_.names(kind))
     if (fleet_.processes.at(node)->up())
       running.push_back(node);
-  return any_of(running);
+  return draw_node(running);
 }
 
-auto fault_injector::nodes_meant(const std::string& argument) -> std::vector<std::string> {
-  auto one = [](const std::string& node) {
+auto fault_injector::selected_nodes(const std::string& argument) -> std::vector<std::string> {
+  auto as_list = [](const std::string& node) {
     return node.empty() ? std::vector<std::string>() : std::vector<std::string>{node};
   };
   if (argument == "leader")
-    return one(fleet_.leader());
+    return as_list(fleet_.leader());
   if (argument == "isolated")
-    return one(isolated_);
+    return as_list(isolated_);
   if (argument == "follower")
-    return one(control_node_other_than(fleet_.leader()));
+    return as_list(draw_other_control_node(fleet_.leader()));
   if (argument == "majority")
-    return one(control_node_other_than(isolated_));
+    return as_list(draw_other_control_node(isolated_));
   if (argument == "busiest")
-    return one(fleet_.busiest());
+    return as_list(fleet_.busiest());
   auto colon = argument.find(':');
   auto role = argument.substr(0, colon);
-  auto rest = colon == std::string::npos ? std::string() : argument.substr(colon + 1);
+  auto selector = colon == std::string::npos ? std::string() : argument.substr(colon + 1);
   if (role == "primary")
-    return one(fleet_.primary_of(rest));
+    return as_list(fleet_.primary_of(selector));
   if (role == "backup")
-    return one(fleet_.backup_of(rest));
+    return as_list(fleet_.backup_of(selector));
   if (role == "any")
-    return one(running_node_of(rest));
+    return as_list(draw_running_node(selector));
   return fleet_.names(argument);
 }
 
-auto fault_injector::place_meant(const std::string& argument) -> std::string {
+auto fault_injector::selected_place(const std::string& argument) -> std::string {
   auto is_zone = argument.size() == 2 && argument[0] == 'z';
   if (is_zone || argument == "*" || fleet_.network.machines.count(argument))
     return argument;
-  auto nodes = nodes_meant(argument);
+  auto nodes = selected_nodes(argument);
   return nodes.empty() ? "nowhere" : fleet_.processes.at(nodes[0])->machine->name;
 }
 
-auto fault_injector::places_meant(const std::string& argument, const std::string& excluded)
+auto fault_injector::selected_places(const std::string& argument, const std::string& excluded)
     -> std::vector<std::string> {
   if (argument != "control_nodes")
-    return {place_meant(argument)};
+    return {selected_place(argument)};
   auto out = std::vector<std::string>();
   for (const auto& node : fleet_.names("queen")) {
     const auto& name = fleet_.processes.at(node)->machine->name;
--- a/tools/simulator/fault_injector.hpp
+++ b/tools/simulator/fault_injector.hpp
@@ -1,4 +1,4 @@
-// Carries out the faults and operators' orders of a scenario on a simulated fleet (design 9.2).
+// Injects the faults and the operators' orders of a scenario into a simulated fleet (design 9.2).
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -14,25 +14,27 @@
 
 namespace reachridge {
 
-// How many arguments a fault command takes; none: there is no such command.
+// Returns the number of arguments that a fault command takes, or nothing if the command does not exist.
 [[nodiscard]] auto fault_arguments(const std::string& command) -> std::optional<std::size_t>;
 
-// Injects scheduled faults and ends each after its duration. Owned by one run of a scenario, which has to outlive the
-// fleet's pending events, since they call back into it. Every choice between nodes is drawn from the network's random
-// engine, so that one seed always gives the same run.
+// Injects scheduled faults and ends each fault after its duration. One scenario run owns the injector. The injector
+// must outlive the fleet's pending events because they call back into it. The injector draws every choice between nodes
+// from the network's random engine, which makes a run reproducible from its seed.
 class fault_injector {
  public:
-  // `counts`: what was done, by command and by outcome; scenarios state the least they want of each.
-  fault_injector(fleet& target, event_counts& counts) : fleet_(target), counts_(counts), orders_(target, counts) {}
+  // The injector adds to `counts`, by command and by outcome. A scenario states the least value of each count.
+  fault_injector(fleet& simulated_fleet, event_counts& counts)
+      : fleet_(simulated_fleet), counts_(counts), orders_(simulated_fleet, counts) {}
 
+  // Runs the command of a fault. Throws request_error `invalid_scenario` if an argument has no meaning.
   auto inject(const scheduled_fault& fault) -> void;
 
-  // Faults under way. The checker is told when the first begins and when the last has ended.
-  [[nodiscard]] auto active_faults() const -> int {
-    return active_faults_;
+  // Counts the faults in progress. The history records when the first one starts and when the last one has ended.
+  [[nodiscard]] auto active_fault_count() const -> int {
+    return active_fault_count_;
   }
-  auto fault_begins() -> void;
-  auto fault_ends() -> void;
+  auto on_fault_started() -> void;
+  auto on_fault_ended() -> void;
 
  private:
   using handler = void (fault_injector::*)(const scheduled_fault&);
@@ -47,7 +49,7 @@
   auto kill(const scheduled_fault& fault) -> void;
   auto start(const scheduled_fault& fault) -> void;
   auto terminate(const scheduled_fault& fault) -> void;
-  auto restart_one_by_one(const scheduled_fault& fault) -> void;
+  auto rolling_restart(const scheduled_fault& fault) -> void;
   auto freeze(const scheduled_fault& fault) -> void;
   auto change_setting(const scheduled_fault& fault) -> void;
   // Machines.
@@ -60,7 +62,7 @@
   // Disks.
   auto lose_disk(const scheduled_fault& fault) -> void;
   auto lose_spare_disk(const scheduled_fault& fault) -> void;
-  auto lose_disks_at_once(const scheduled_fault& fault) -> void;
+  auto lose_disks_and_power(const scheduled_fault& fault) -> void;
   auto flip_bits(const scheduled_fault& fault) -> void;
   auto flip_spare_bits(const scheduled_fault& fault) -> void;
   auto fill_disk(const scheduled_fault& fault) -> void;
@@ -69,40 +71,40 @@
   auto isolate(const scheduled_fault& fault) -> void;
   auto reset_connections(const scheduled_fault& fault) -> void;
   auto lose_packets(const scheduled_fault& fault) -> void;
-  // Operators' orders.
+  // Orders of operators.
   auto configure(const scheduled_fault& fault) -> void;
   auto configure_often(const scheduled_fault& fault) -> void;
-  auto probe_configurations(const scheduled_fault& fault) -> void;
+  auto probe_recent_configurations(const scheduled_fault& fault) -> void;
   auto order_once(const scheduled_fault& fault) -> void;
   auto drain(const scheduled_fault& fault) -> void;
   auto drain_any_storage_node(const scheduled_fault& fault) -> void;
   auto evacuate_zone(const scheduled_fault& fault) -> void;
   auto retire_and_lose_disk(const scheduled_fault& fault) -> void;
 
-  auto lose_disk_of(const std::string& node, monotonic_time duration) -> void;
-  auto flip_bits_of(const std::string& node, const scheduled_fault& fault) -> void;
-  auto lose_another_disk(const std::string& retired) -> void;
-  // Ends a fault after its duration; one without a duration stays until the run's end.
+  auto lose_node_disk(const std::string& node, monotonic_time duration) -> void;
+  auto flip_disk_bits(const std::string& node, const scheduled_fault& fault) -> void;
+  auto lose_another_disk(const std::string& retired_node) -> void;
+  // Calls `end` after the duration of a fault. A fault without a duration lasts until the end of the run.
   auto end_after(monotonic_time duration, std::function<void()> end) -> void;
 
-  auto any_of(const std::vector<std::string>& nodes) -> std::string;
-  // The nodes that an argument means: a role (primary:PARTITION, backup:PARTITION, leader, follower, busiest, any:KIND,
-  // isolated, majority), or a node, a kind, a zone. `isolated` is the control node that a cut was last aimed at,
-  // `majority` another control node.
-  auto nodes_meant(const std::string& argument) -> std::vector<std::string>;
-  auto control_node_other_than(const std::string& excluded) -> std::string;
-  auto running_node_of(const std::string& kind) -> std::string;
-  // For cuts: the name of a machine or a zone, or '*'.
-  auto place_meant(const std::string& argument) -> std::string;
-  // One side of a cut; `control_nodes` are the machines of all control nodes except `excluded`.
-  auto places_meant(const std::string& argument, const std::string& excluded) -> std::vector<std::string>;
+  auto draw_node(const std::vector<std::string>& nodes) -> std::string;
+  // Returns the nodes that an argument selects: a role (primary:PARTITION, backup:PARTITION, leader, follower, busiest,
+  // any:KIND, isolated, majority), a node, a kind or a zone. `isolated` is the control node that was last cut off,
+  // `majority` is another control node.
+  auto selected_nodes(const std::string& argument) -> std::vector<std::string>;
+  auto draw_other_control_node(const std::string& excluded) -> std::string;
+  auto draw_running_node(const std::string& kind) -> std::string;
+  // Returns one endpoint of a cut: the name of a machine or a zone, or '*'.
+  auto selected_place(const std::string& argument) -> std::string;
+  // Returns one side of a cut. `control_nodes` selects the machines of all control nodes except `excluded`.
+  auto selected_places(const std::string& argument, const std::string& excluded) -> std::vector<std::string>;
 
   fleet& fleet_;
   event_counts& counts_;
   operator_orders orders_;
-  std::set<std::string> drained_;
-  std::string isolated_;
-  int active_faults_ = 0;
+  std::set<std::string> drained_;  // storage nodes that drain_any selected
+  std::string isolated_;           // the control node that was last cut off
+  int active_fault_count_ = 0;
 };
 
 }  // namespace reachridge
--- a/tools/simulator/fleet.cpp
+++ b/tools/simulator/fleet.cpp
@@ -9,33 +9,35 @@
 namespace reachridge {
 namespace {
 
-monotonic_time* shown_clock = nullptr;
+monotonic_time* log_clock = nullptr;
 
 }  // namespace
 
 auto fleet_shape::spaces() const -> std::string {
-  auto c = std::to_string(partitions);
-  return R"({"name":"alerts","keep_s":)" + std::to_string(keep) + R"(,"urgency":9,"cells":)" + c +
-         R"(},{"name":"lookups","keep_s":)" + std::to_string(keep_low) + R"(,"urgency":1,"cells":)" + c + "}";
+  auto partition_count = std::to_string(partitions);
+  return R"({"name":"alerts","keep_s":)" + std::to_string(keep) + R"(,"urgency":9,"cells":)" + partition_count +
+         R"(},{"name":"lookups","keep_s":)" + std::to_string(keep_low) + R"(,"urgency":1,"cells":)" + partition_count +
+         "}";
 }
 auto fleet_shape::all_spaces() const -> std::string {
-  auto out = spaces();
+  auto spaces_text = spaces();
   for (auto i = 0; i < extra_spaces; ++i) {
     auto name = "extra-" + std::to_string(i);
-    out += R"(,{"name":")" + name + R"(","prefix":"kafi810-)" + name + R"(.","pool":"alerts","keep_s":)" +
-           std::to_string(keep) + R"(,"urgency":1,"cells":)" + std::to_string(partitions) + R"(,"order":"topic",)" +
-           R"("timeout_ms":1500,"aim_ms":150})";
+    spaces_text += R"(,{"name":")" + name + R"(","prefix":"kafi810-)" + name + R"(.","pool":"alerts","keep_s":)" +
+                   std::to_string(keep) + R"(,"urgency":1,"cells":)" + std::to_string(partitions) +
+                   R"(,"order":"topic",)" + R"("timeout_ms":1500,"aim_ms":150})";
   }
-  return out;
+  return spaces_text;
 }
 
-fleet::fleet(std::uint64_t s, fleet_shape sh) : network(s), shape(std::move(sh)), seed_(s) {
-  shown_clock = &network.clock;
+fleet::fleet(std::uint64_t seed, fleet_shape initial_shape)
+    : network(seed), shape(std::move(initial_shape)), seed_(seed) {
+  log_clock = &network.clock;
   set_log_clock([] {
-    return shown_clock ? 1700000000000 + *shown_clock / millisecond : 0;
+    return log_clock ? 1700000000000 + *log_clock / millisecond : 0;
   });
   network.packet_loss = shape.loss;
-  auto& out = network.machine_at("outside", "out");
+  auto& outside_machine = network.machine_at("outside", "out");
   for (auto i = 1; i <= shape.control_nodes; ++i)
     seeds_.push_back(network.machine_at("q" + std::to_string(i), "z" + std::to_string((i - 1) % shape.zones + 1)).ip +
                      ":7000");
@@ -48,7 +50,7 @@
     add_storage_node();
   for (auto i = 1; i <= shape.gateways; ++i)
     add_gateway();
-  outside = std::make_unique<sim_host>(network, out, false, seed_ * 7919 + 13);
+  outside = std::make_unique<sim_host>(network, outside_machine, false, seed_ * 7919 + 13);
   outside->step_cost = 1;
   operator_tasks = std::make_unique<task_group>(*outside);
 }
@@ -64,67 +66,67 @@
   }
   outside.reset();
   set_log_clock(nullptr);
-  shown_clock = nullptr;
+  log_clock = nullptr;
 }
 
-auto fleet::config_for(const std::string& kind, const std::string& name, const std::string& zone,
-                       const machine& m) const -> settings {
-  auto flags = shape.settings;
-  flags["name"] = name;
-  flags["zone"] = zone;
-  flags["seeds"] = seeds_[0] + "," + seeds_[1] + "," + seeds_[2];
+auto fleet::settings_for(const std::string& kind, const std::string& name, const std::string& zone,
+                         const machine& own_machine) const -> settings {
+  auto values = shape.settings;
+  values["name"] = name;
+  values["zone"] = zone;
+  values["seeds"] = seeds_[0] + "," + seeds_[1] + "," + seeds_[2];
   if (kind == "queen" || kind == "comb")
-    flags["addr"] = m.ip + ":7000";
+    values["addr"] = own_machine.ip + ":7000";
   if (kind != "scout")
-    flags["web"] = m.ip + ":8000";
+    values["web"] = own_machine.ip + ":8000";
   if (kind == "scout" || kind == "forager")
-    flags["feed"] = m.ip + ":7001";
-  auto faults = std::vector<setting_error>();
-  auto n = required_settings();
-  n.address = false;
-  auto c = read_settings("", flags, n, faults);
-  if (!faults.empty())
-    throw request_error(errc::invalid_settings, faults[0].key + ": " + faults[0].message);
-  return c;
-}
-
-auto fleet::add(const std::string& kind, const std::string& name, const std::string& box, const std::string& zone)
-    -> void {
-  auto& m = network.machine_at(box, zone);
-  m.sync_cost = shape.sync;
-  m.sync_spike_share = shape.spikes;
-  m.sync_spike = shape.spike;
-  m.sync_blocks_process = shape.sync_blocks_process;
-  auto p = std::make_unique<process>();
-  p->kind = kind;
-  p->name = name;
-  p->machine = &m;
-  p->settings = config_for(kind, name, zone, m);
+    values["feed"] = own_machine.ip + ":7001";
+  auto errors = std::vector<setting_error>();
+  auto required = required_settings();
+  required.address = false;
+  auto result = read_settings("", values, required, errors);
+  if (!errors.empty())
+    throw request_error(errc::invalid_settings, errors[0].key + ": " + errors[0].message);
+  return result;
+}
+
+auto fleet::add(const std::string& kind, const std::string& name, const std::string& machine_name,
+                const std::string& zone) -> void {
+  auto& own_machine = network.machine_at(machine_name, zone);
+  own_machine.sync_cost = shape.sync;
+  own_machine.sync_spike_share = shape.spikes;
+  own_machine.sync_spike = shape.spike;
+  own_machine.sync_blocks_process = shape.sync_blocks_process;
+  auto node = std::make_unique<process>();
+  node->kind = kind;
+  node->name = name;
+  node->machine = &own_machine;
+  node->settings = settings_for(kind, name, zone, own_machine);
   if (kind == "forager")
-    gateway_addresses.push_back(p->settings.http_address);
+    gateway_addresses.push_back(node->settings.http_address);
   if (kind == "queen")
-    control_addresses.push_back(p->settings.http_address);
-  processes[name] = std::move(p);
+    control_addresses.push_back(node->settings.http_address);
+  processes[name] = std::move(node);
 }
 
 auto fleet::add_storage_node() -> std::string {
-  auto i = 1;
-  while (processes.count("comb-" + std::to_string(i)))
-    ++i;
-  auto n = std::to_string(i);
-  add("comb", "comb-" + n, "c" + n, "z" + std::to_string((i - 1) % shape.zones + 1));
-  return "comb-" + n;
+  auto number = 1;
+  while (processes.count("comb-" + std::to_string(number)))
+    ++number;
+  auto number_text = std::to_string(number);
+  add("comb", "comb-" + number_text, "c" + number_text, "z" + std::to_string((number - 1) % shape.zones + 1));
+  return "comb-" + number_text;
 }
 
 auto fleet::add_control_node() -> std::string {
-  auto i = 1;
-  while (processes.count("queen-" + std::to_string(i)))
-    ++i;
-  auto n = std::to_string(i);
-  add("queen", "queen-" + n, "q" + n, "z" + std::to_string((i - 1) % shape.zones + 1));
+  auto number = 1;
+  while (processes.count("queen-" + std::to_string(number)))
+    ++number;
+  auto number_text = std::to_string(number);
+  add("queen", "queen-" + number_text, "q" + number_text, "z" + std::to_string((number - 1) % shape.zones + 1));
   if (operator_calls)
     operator_calls->add_control_node(control_addresses.back());
-  return "queen-" + n;
+  return "queen-" + number_text;
 }
 
 auto fleet::remove(const std::string& name) -> void {
@@ -133,100 +135,102 @@
   processes.at(name)->removed = true;
 }
 
-auto fleet::relist(const std::string& gone, const std::string& came) -> void {
-  auto was = processes.at(gone)->settings.address, is = processes.at(came)->settings.address;
-  std::replace(seeds_.begin(), seeds_.end(), was, is);
-  for (auto& [n, p] : processes)
-    std::replace(p->settings.seeds.begin(), p->settings.seeds.end(), was, is);
+auto fleet::relist(const std::string& removed, const std::string& added) -> void {
+  auto old_address = processes.at(removed)->settings.address, new_address = processes.at(added)->settings.address;
+  std::replace(seeds_.begin(), seeds_.end(), old_address, new_address);
+  for (auto& [name, node] : processes)
+    std::replace(node->settings.seeds.begin(), node->settings.seeds.end(), old_address, new_address);
 }
 
 auto fleet::add_gateway() -> std::string {
-  auto i = 1;
-  while (processes.count("forager-" + std::to_string(i)))
-    ++i;
-  auto n = std::to_string(i), z = "z" + std::to_string((i - 1) % shape.zones + 1);
-  add("scout", "scout-" + n, "f" + n, z);
-  add("forager", "forager-" + n, "f" + n, z);
+  auto number = 1;
+  while (processes.count("forager-" + std::to_string(number)))
+    ++number;
+  auto number_text = std::to_string(number), zone = "z" + std::to_string((number - 1) % shape.zones + 1);
+  add("scout", "scout-" + number_text, "f" + number_text, zone);
+  add("forager", "forager-" + number_text, "f" + number_text, zone);
   if (client_balancer)
     client_balancer->watch(gateway_addresses.back());
-  return n;
+  return number_text;
 }
 
 auto fleet::start(const std::string& name) -> void {
-  auto& p = *processes.at(name);
-  if (p.up() || p.removed || !p.machine->powered)
+  auto& node = *processes.at(name);
+  if (node.up() || node.removed || !node.machine->powered)
     return;
-  auto disk = p.kind == "queen" || p.kind == "comb";
-  p.host = std::make_unique<sim_host>(network, *p.machine, disk, seed_ * 1000003 + ++births_);
-  auto charged = heap_scope(network.metered ? p.host->heap_account : nullptr);
-  if (p.kind == "queen")
-    p.control = std::make_unique<control_node>(*p.host, p.settings);
-  if (p.kind == "comb")
-    p.storage = std::make_unique<storage_node>(*p.host, p.settings);
-  if (p.kind == "scout")
-    p.agent = std::make_unique<agent>(*p.host, p.settings);
-  if (p.kind == "forager")
-    p.gateway = std::make_unique<gateway>(*p.host, p.settings);
-  p.test_tasks = std::make_unique<task_group>(*p.host);
+  auto has_disk = node.kind == "queen" || node.kind == "comb";
+  node.host = std::make_unique<sim_host>(network, *node.machine, has_disk, seed_ * 1000003 + ++process_starts_);
+  auto heap_charge = heap_scope(network.metered ? node.host->heap_account : nullptr);
+  if (node.kind == "queen")
+    node.control = std::make_unique<control_node>(*node.host, node.settings);
+  if (node.kind == "comb")
+    node.storage = std::make_unique<storage_node>(*node.host, node.settings);
+  if (node.kind == "scout")
+    node.agent = std::make_unique<agent>(*node.host, node.settings);
+  if (node.kind == "forager")
+    node.gateway = std::make_unique<gateway>(*node.host, node.settings);
+  node.test_tasks = std::make_unique<task_group>(*node.host);
 }
 
 auto fleet::kill(const std::string& name) -> void {
-  auto& p = *processes.at(name);
-  if (!p.up())
+  auto& node = *processes.at(name);
+  if (!node.up())
     return;
-  p.test_tasks.reset();
-  p.gateway.reset();
-  p.agent.reset();
-  p.storage.reset();
-  p.control.reset();
-  p.host.reset();
+  node.test_tasks.reset();
+  node.gateway.reset();
+  node.agent.reset();
+  node.storage.reset();
+  node.control.reset();
+  node.host.reset();
 }
 
 auto fleet::term(const std::string& name, monotonic_time grace) -> void {
-  auto& p = *processes.at(name);
-  if (!p.up())
+  auto& node = *processes.at(name);
+  if (!node.up())
     return;
-  auto born = births_;
-  p.test_tasks->spawn([](process& one, simulated_network& w, monotonic_time g, fleet& f, std::uint64_t) -> task<void> {
-    auto end = one.host->now() + g;
-    if (one.control)
-      co_await one.control->leave(end);
-    if (one.storage)
-      co_await one.storage->leave(end);
-    if (one.gateway)
-      co_await one.gateway->leave(end);
-    if (one.agent)
-      co_await one.agent->leave(end);
-    auto n = one.name;
-    auto* host_now = one.host.get();
-    w.schedule(w.clock + millisecond, [&f, n, host_now] {
-      if (f.processes.at(n)->host.get() == host_now)
-        f.kill(n);
+  auto start_number = process_starts_;
+  node.test_tasks->spawn([](process& stopping, simulated_network& simulated, monotonic_time grace_period, fleet& owner,
+                            std::uint64_t) -> task<void> {
+    auto deadline = stopping.host->now() + grace_period;
+    if (stopping.control)
+      co_await stopping.control->leave(deadline);
+    if (stopping.storage)
+      co_await stopping.storage->leave(deadline);
+    if (stopping.gateway)
+      co_await stopping.gateway->leave(deadline);
+    if (stopping.agent)
+      co_await stopping.agent->leave(deadline);
+    auto node_name = stopping.name;
+    auto* current_host = stopping.host.get();
+    simulated.schedule(simulated.clock + millisecond, [&owner, node_name, current_host] {
+      if (owner.processes.at(node_name)->host.get() == current_host)
+        owner.kill(node_name);
     });
-  }(p, network, grace, *this, born));
-  auto* host_now = p.host.get();
-  network.schedule(network.clock + grace + second, [this, name, host_now] {
-    if (processes.at(name)->host.get() == host_now)
+  }(node, network, grace, *this, start_number));
+  auto* current_host = node.host.get();
+  network.schedule(network.clock + grace + second, [this, name, current_host] {
+    if (processes.at(name)->host.get() == current_host)
       kill(name);
   });
 }
 
-auto fleet::freeze(const std::string& name, bool on) -> void {
-  if (auto& p = *processes.at(name); p.up())
-    p.host->freeze(on);
+auto fleet::freeze(const std::string& name, bool frozen) -> void {
+  if (auto& node = *processes.at(name); node.up())
+    node.host->freeze(frozen);
 }
 
-auto fleet::power(const std::string& where, bool on) -> void {
-  for (auto& [n, m] : network.machines) {
-    if (n == "outside" || (n != where && m->zone != where && where != "all"))
+auto fleet::power(const std::string& machine_or_zone, bool on) -> void {
+  for (auto& [name, host_machine] : network.machines) {
+    if (name == "outside" ||
+        (name != machine_or_zone && host_machine->zone != machine_or_zone && machine_or_zone != "all"))
       continue;
-    m->powered = on;
+    host_machine->powered = on;
   }
-  for (auto& [n, p] : processes) {
-    if (!p->machine->powered)
-      kill(n);
+  for (auto& [name, node] : processes) {
+    if (!node->machine->powered)
+      kill(name);
     else if (on)
-      start(n);
+      start(name);
   }
 }
 
@@ -234,255 +238,256 @@
   processes.at(name)->machine->durable.clear();
 }
 
-auto fleet::disk_of(const std::string& name, const std::string& key) const -> std::string {
-  auto it = processes.find(name);
-  if (it == processes.end())
+auto fleet::disk_id_of(const std::string& name, const std::string& key) const -> std::string {
+  auto node = processes.find(name);
+  if (node == processes.end())
     return {};
-  auto row = it->second->machine->durable.find(key);
-  return row == it->second->machine->durable.end() ? "" : get_string(decode_with_checksum(row->second), "id");
+  auto row = node->second->machine->durable.find(key);
+  return row == node->second->machine->durable.end() ? "" : get_string(decode_with_checksum(row->second), "id");
 }
 
 auto fleet::newest_view() const -> const cluster_view* {
-  const auto* known = static_cast<const cluster_view*>(nullptr);
-  for (const auto& [n, one] : processes)
-    if (one->storage && (!known || one->storage->session.view.partitions_version > known->partitions_version))
-      known = &one->storage->session.view;
-  return known;
+  const auto* newest = static_cast<const cluster_view*>(nullptr);
+  for (const auto& [name, node] : processes)
+    if (node->storage && (!newest || node->storage->session.view.partitions_version > newest->partitions_version))
+      newest = &node->storage->session.view;
+  return newest;
 }
 
-auto fleet::copies_on_disk(const partition_assignment& row) const -> std::int64_t {
-  return std::count_if(row.in_sync_replicas.begin(), row.in_sync_replicas.end(), [&](auto& m) {
-    return m == node_of_member(m) + "/" + disk_of(node_of_member(m), "B/disk");
+auto fleet::replicas_on_disk(const partition_assignment& assignment) const -> std::int64_t {
+  return std::count_if(assignment.in_sync_replicas.begin(), assignment.in_sync_replicas.end(), [&](auto& member) {
+    return member == node_of_member(member) + "/" + disk_id_of(node_of_member(member), "B/disk");
   });
 }
 
-auto fleet::copies_are_sound() const -> bool {
-  for (const auto& [n, one] : processes) {
-    if (!one->storage)
+auto fleet::replicas_are_undamaged() const -> bool {
+  for (const auto& [name, node] : processes) {
+    if (!node->storage)
       continue;
-    auto now = one->storage->status();
-    for (const auto& kv : get_value(now, "cells").as_object())
-      if (get_bool(kv.value(), "broken"))
+    auto status = node->storage->status();
+    for (const auto& replica : get_value(status, "cells").as_object())
+      if (get_bool(replica.value(), "broken"))
         return false;
   }
   return true;
 }
 
-auto fleet::survives_losses(std::int64_t losses) const -> bool {
-  const auto* known = newest_view();
-  if (!known || !known->configuration || known->partitions.empty() || !copies_are_sound())
+auto fleet::survives_disk_losses(std::int64_t losses) const -> bool {
+  const auto* view = newest_view();
+  if (!view || !view->configuration || view->partitions.empty() || !replicas_are_undamaged())
     return false;
-  return std::all_of(known->partitions.begin(), known->partitions.end(), [&](const auto& cell) {
-    auto pool = known->configuration->pools.find(cell.first.substr(0, cell.first.find('/')));
-    auto keeps = pool != known->configuration->pools.end() && pool->second.keep_ms > 0;
-    return !keeps || copies_on_disk(cell.second) > losses;
+  return std::all_of(view->partitions.begin(), view->partitions.end(), [&](const auto& partition) {
+    auto pool = view->configuration->pools.find(partition.first.substr(0, partition.first.find('/')));
+    auto has_retention = pool != view->configuration->pools.end() && pool->second.keep_ms > 0;
+    return !has_retention || replicas_on_disk(partition.second) > losses;
   });
 }
 
-auto fleet::in_step(const std::string& cell) const -> std::vector<std::string> {
-  const auto* known = newest_view();
-  if (!known)
+auto fleet::in_sync_nodes(const std::string& partition) const -> std::vector<std::string> {
+  const auto* view = newest_view();
+  if (!view)
     return {};
-  auto row = known->partitions.find(cell);
-  if (row == known->partitions.end())
+  auto assignment = view->partitions.find(partition);
+  if (assignment == view->partitions.end())
     return {};
-  auto out = std::vector<std::string>{node_of_member(row->second.primary)};
-  for (const auto& m : row->second.in_sync_replicas)
-    if (m != row->second.primary)
-      out.push_back(node_of_member(m));
-  return out;
+  auto nodes = std::vector<std::string>{node_of_member(assignment->second.primary)};
+  for (const auto& member : assignment->second.in_sync_replicas)
+    if (member != assignment->second.primary)
+      nodes.push_back(node_of_member(member));
+  return nodes;
 }
 
 auto fleet::survives_disk_loss(const std::string& name) const -> bool {
-  const auto& p = *processes.at(name);
-  if (network.clock - flipped_ < 30 * second)
+  const auto& node = *processes.at(name);
+  if (network.clock - last_bit_flip_ < 30 * second)
     return false;
-  if (p.kind == "queen") {
-    auto lead = leader();
-    if (lead.empty())
+  if (node.kind == "queen") {
+    auto leader_name = leader();
+    if (leader_name.empty())
       return false;
-    auto now = processes.at(lead)->control->status();
-    // The voters that it names count once a majority has agreed on them.
-    if (get_bool(get_value(now, "ledger"), "changing"))
+    auto status = processes.at(leader_name)->control->status();
+    // The leader's list of voters is reliable only after it has been committed.
+    if (get_bool(get_value(status, "ledger"), "changing"))
       return false;
-    auto seated = 0;
-    for (const auto& v : get_array(get_value(now, "ledger"), "voters"))
-      for (const auto& [n, one] : processes)
-        if (one->kind == "queen" && one->settings.address == get_string(v, "addr") && one->up())
-          seated += disk_of(n, "L/meta") == get_string(v, "id");
-    return seated == shape.control_nodes;
+    auto voters_with_disk = 0;
+    for (const auto& voter : get_array(get_value(status, "ledger"), "voters"))
+      for (const auto& [other_name, other] : processes)
+        if (other->kind == "queen" && other->settings.address == get_string(voter, "addr") && other->up())
+          voters_with_disk += disk_id_of(other_name, "L/meta") == get_string(voter, "id");
+    return voters_with_disk == shape.control_nodes;
   }
-  if (p.kind != "comb")
+  if (node.kind != "comb")
     return true;
-  const auto* known = newest_view();
-  if (!known || known->partitions.empty() || !copies_are_sound())
+  const auto* view = newest_view();
+  if (!view || view->partitions.empty() || !replicas_are_undamaged())
     return false;
-  return std::all_of(known->partitions.begin(), known->partitions.end(), [&](const auto& cell) {
-    return copies_on_disk(cell.second) >= 2;
+  return std::all_of(view->partitions.begin(), view->partitions.end(), [&](const auto& partition) {
+    return replicas_on_disk(partition.second) >= 2;
   });
 }
 
-auto fleet::flip_bits(const std::string& name, int n) -> void {
-  auto& d = processes.at(name)->machine->durable;
-  flipped_ = network.clock;
-  for (auto i = 0; i < n; ++i) {
+auto fleet::flip_bits(const std::string& name, int bit_count) -> void {
+  auto& disk = processes.at(name)->machine->durable;
+  last_bit_flip_ = network.clock;
+  for (auto i = 0; i < bit_count; ++i) {
     auto rows = std::vector<std::string>();
-    for (auto& [k, v] : d)
-      if (k.compare(0, 2, "C/") == 0 && !v.empty())
-        rows.push_back(k);
+    for (auto& [key, content] : disk)
+      if (key.compare(0, 2, "C/") == 0 && !content.empty())
+        rows.push_back(key);
     if (rows.empty())
       return;
-    auto& v = d[rows[network.random_engine() % rows.size()]];
-    auto bit = network.random_engine() % (v.size() * 8);
-    v[bit / 8] = static_cast<char>(v[bit / 8] ^ (1 << (bit % 8)));
+    auto& content = disk[rows[network.random_engine() % rows.size()]];
+    auto bit = network.random_engine() % (content.size() * 8);
+    content[bit / 8] = static_cast<char>(content[bit / 8] ^ (1 << (bit % 8)));
   }
 }
 
 auto fleet::control_nodes_with(const std::string& body) const -> int {
-  auto stored =
-      configuration_record::from_compiled(compile_configuration(body))->deflated_rules();  // as the log has it
-  auto n = 0;
-  for (const auto& [name, p] : processes)
-    if (p->kind == "queen")
-      n += std::any_of(p->machine->durable.begin(), p->machine->durable.end(), [&](const auto& kv) {
-        return kv.second.find(stored) != std::string::npos;
+  // The replicated log stores the rules compressed.
+  auto stored_rules = configuration_record::from_compiled(compile_configuration(body))->deflated_rules();
+  auto count = 0;
+  for (const auto& [name, node] : processes)
+    if (node->kind == "queen")
+      count += std::any_of(node->machine->durable.begin(), node->machine->durable.end(), [&](const auto& row) {
+        return row.second.find(stored_rules) != std::string::npos;
       });
-  return n;
+  return count;
 }
-auto fleet::behind(std::int64_t n) const -> std::string {
-  for (const auto& [name, p] : processes)
-    if (p->gateway && p->gateway->is_serving() && p->gateway->session.view.configuration->number < n)
+auto fleet::gateway_with_older_configuration(std::int64_t number) const -> std::string {
+  for (const auto& [name, node] : processes)
+    if (node->gateway && node->gateway->is_serving() && node->gateway->session.view.configuration->number < number)
       return name;
   return {};
 }
 
-auto fleet::lagging(std::int64_t n) const -> std::string {
-  for (const auto& [name, p] : processes) {
-    auto held = configuration_ptr();
-    if (p->control)
-      held = p->control->state.configuration;
-    if (p->storage)
-      held = p->storage->session.view.configuration;
-    if (p->agent)
-      held = p->agent->session.view.configuration;
-    if (p->gateway)
-      held = p->gateway->session.view.configuration;
-    if (p->up() && (!held || held->number < n))
+auto fleet::process_with_older_configuration(std::int64_t number) const -> std::string {
+  for (const auto& [name, node] : processes) {
+    auto configuration = configuration_ptr();
+    if (node->control)
+      configuration = node->control->state.configuration;
+    if (node->storage)
+      configuration = node->storage->session.view.configuration;
+    if (node->agent)
+      configuration = node->agent->session.view.configuration;
+    if (node->gateway)
+      configuration = node->gateway->session.view.configuration;
+    if (node->up() && (!configuration || configuration->number < number))
       return name;
   }
   return {};
 }
 
-auto fleet::primary_of(const std::string& cell) const -> std::string {
-  for (const auto& [n, p] : processes)
-    if (p->storage)
-      if (const auto* c = p->storage->held_partition(cell); c && c->is_primary())
-        return n;
+auto fleet::primary_of(const std::string& partition) const -> std::string {
+  for (const auto& [name, node] : processes)
+    if (node->storage)
+      if (const auto* replica = node->storage->held_partition(partition); replica && replica->is_primary())
+        return name;
   return {};
 }
-auto fleet::backup_of(const std::string& cell) const -> std::string {
-  for (const auto& [n, p] : processes)
-    if (p->storage)
-      if (const auto* c = p->storage->held_partition(cell); c && c->is_primary())
-        return node_of_member(get_string_or(c->status(), "back"));
+auto fleet::backup_of(const std::string& partition) const -> std::string {
+  for (const auto& [name, node] : processes)
+    if (node->storage)
+      if (const auto* replica = node->storage->held_partition(partition); replica && replica->is_primary())
+        return node_of_member(get_string_or(replica->status(), "back"));
   return {};
 }
 auto fleet::busiest() const -> std::string {
-  auto best = std::string();
-  auto most = std::int64_t{-1};
-  for (const auto& [n, p] : processes)
-    if (p->storage && !p->host->frozen) {
-      auto use = std::int64_t{0};
-      auto now = p->storage->status();
-      for (const auto& kv : get_value(now, "cells").as_object())
-        use += get_string_or(kv.value(), "role") == "primary";
-      if (use > most) {
-        most = use;
-        best = n;
+  auto busiest_name = std::string();
+  auto max_primaries = std::int64_t{-1};
+  for (const auto& [name, node] : processes)
+    if (node->storage && !node->host->frozen) {
+      auto primaries = std::int64_t{0};
+      auto status = node->storage->status();
+      for (const auto& replica : get_value(status, "cells").as_object())
+        primaries += get_string_or(replica.value(), "role") == "primary";
+      if (primaries > max_primaries) {
+        max_primaries = primaries;
+        busiest_name = name;
       }
     }
-  return best;
+  return busiest_name;
 }
 auto fleet::leader() const -> std::string {
-  for (const auto& [n, p] : processes)
-    if (p->control && p->control->leads())
-      return n;
+  for (const auto& [name, node] : processes)
+    if (node->control && node->control->leads())
+      return name;
   return {};
 }
 auto fleet::change_setting(const std::string& name, const std::string& key, const std::string& value) -> bool {
-  auto& p = *processes.at(name);
-  auto was = shape.settings;
+  auto& node = *processes.at(name);
+  auto previous_settings = shape.settings;
   shape.settings[key] = value;
-  auto ok = true;
+  auto is_valid = true;
   try {
-    p.settings = config_for(p.kind, name, p.machine->zone, *p.machine);
+    node.settings = settings_for(node.kind, name, node.machine->zone, *node.machine);
   } catch (const request_error&) {
-    ok = false;
+    is_valid = false;
   }
-  shape.settings = was;
-  if (!ok || !p.up())
-    return ok;
-  if (p.control)
-    p.control->reload(p.settings);
-  if (p.storage)
-    p.storage->reload(p.settings);
-  if (p.agent)
-    p.agent->reload(p.settings);
-  if (p.gateway)
-    p.gateway->reload(p.settings);
-  return ok;
+  shape.settings = previous_settings;
+  if (!is_valid || !node.up())
+    return is_valid;
+  if (node.control)
+    node.control->reload(node.settings);
+  if (node.storage)
+    node.storage->reload(node.settings);
+  if (node.agent)
+    node.agent->reload(node.settings);
+  if (node.gateway)
+    node.gateway->reload(node.settings);
+  return is_valid;
 }
 
 auto fleet::save_disks(const std::string& file) const -> void {
   auto all_disks = object();
-  for (const auto& [n, m] : network.machines) {
+  for (const auto& [machine_name, saved_machine] : network.machines) {
     auto rows = object();
-    for (const auto& [k, v] : m->durable) {
+    for (const auto& [key, content] : saved_machine->durable) {
       auto hex = std::string();
-      for (auto ch : v) {
-        hex += "0123456789abcdef"[static_cast<unsigned char>(ch) >> 4];
-        hex += "0123456789abcdef"[static_cast<unsigned char>(ch) & 15];
+      for (auto byte : content) {
+        hex += "0123456789abcdef"[static_cast<unsigned char>(byte) >> 4];
+        hex += "0123456789abcdef"[static_cast<unsigned char>(byte) & 15];
       }
-      rows[k] = hex;
+      rows[key] = hex;
     }
     if (!rows.empty())
-      all_disks[n] = rows;
+      all_disks[machine_name] = rows;
   }
   std::ofstream(file) << to_json(all_disks) << '\n';
 }
 
 auto fleet::load_disks(const std::string& file) -> void {
   auto in = std::ifstream(file);
-  auto os = std::ostringstream();
-  os << in.rdbuf();
-  auto t = boost::json::parse(os.str());
-  for (const auto& kv : t.as_object()) {
-    auto& d = network.machines.at(std::string(kv.key()))->durable;
-    d.clear();
-    for (const auto& row : kv.value().as_object()) {
+  auto text = std::ostringstream();
+  text << in.rdbuf();
+  auto all_disks = boost::json::parse(text.str());
+  for (const auto& disk_rows : all_disks.as_object()) {
+    auto& disk = network.machines.at(std::string(disk_rows.key()))->durable;
+    disk.clear();
+    for (const auto& row : disk_rows.value().as_object()) {
       auto hex = std::string(row.value().as_string());
-      auto v = std::string();
+      auto content = std::string();
       for (auto i = std::size_t{0}; i + 1 < hex.size(); i += 2)
-        v += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
-      d[std::string(row.key())] = v;
+        content += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
+      disk[std::string(row.key())] = content;
     }
   }
 }
 
-auto fleet::names(const std::string& what) const -> std::vector<std::string> {
+auto fleet::names(const std::string& selector) const -> std::vector<std::string> {
   auto out = std::vector<std::string>();
-  for (const auto& [n, p] : processes)
-    if (n == what || p->kind == what || p->machine->zone == what || what == "all" || p->machine->name == what)
-      out.push_back(n);
+  for (const auto& [name, node] : processes)
+    if (name == selector || node->kind == selector || node->machine->zone == selector || selector == "all" ||
+        node->machine->name == selector)
+      out.push_back(name);
   return out;
 }
 
-auto fleet::operate(std::function<task<void>(operator_client&)> fn) -> void {
+auto fleet::operate(std::function<task<void>(operator_client&)> run) -> void {
   ++operating;
-  operator_tasks->spawn([](fleet& f, std::function<task<void>(operator_client&)> run) -> task<void> {
-    co_await run(*f.operator_calls);
-    --f.operating;
-  }(*this, std::move(fn)));
+  operator_tasks->spawn([](fleet& owner, std::function<task<void>(operator_client&)> run_task) -> task<void> {
+    co_await run_task(*owner.operator_calls);
+    --owner.operating;
+  }(*this, std::move(run)));
 }
 
 auto fleet::next_configuration() -> std::string {
@@ -490,51 +495,55 @@
 }
 
 auto fleet::begin() -> bool {
-  for (auto& [n, p] : processes)
-    start(n);
+  for (auto& [name, node] : processes)
+    start(name);
   client_balancer = std::make_unique<balancer>(*outside, gateway_addresses);
   operator_calls = std::make_unique<operator_client>(*outside, control_addresses, gateway_addresses, observed);
   auto spaces = boost::json::parse("[" + shape.spaces() + "]");
-  for (const auto& s : spaces.as_array())
-    observed.note(*outside, object{{"e", "space"}, {"name", get_value(s, "name")}, {"keep_s", get_value(s, "keep_s")}});
-  // A lease given by an older configuration, at the latest by a leader that has just lost its majority.
-  const auto& any = processes.begin()->second->settings;
+  for (const auto& space : spaces.as_array())
+    observed.note(*outside,
+                  object{{"e", "space"}, {"name", get_value(space, "name")}, {"keep_s", get_value(space, "keep_s")}});
+  // An older configuration applies at most until the end of a lease that a leader grants just before it notices the
+  // loss of its majority.
+  const auto& any_settings = processes.begin()->second->settings;
   observed.note(*outside,
-                object{{"e", "apply"}, {"ms", (any.lease_duration + any.leader_contact_limit()) / millisecond}});
-  for (const auto& [name, ms] : shape.budgets)
-    observed.note(*outside, object{{"e", "budget"}, {"space", name}, {"ms", ms}});
-  auto ok = std::make_shared<bool>(false);
+                object{{"e", "apply"},
+                       {"ms", (any_settings.lease_duration + any_settings.leader_contact_limit()) / millisecond}});
+  for (const auto& [name, limit_ms] : shape.budgets)
+    observed.note(*outside, object{{"e", "budget"}, {"space", name}, {"ms", limit_ms}});
+  auto is_in_force = std::make_shared<bool>(false);
   auto body = next_configuration();
-  operate([ok, body](operator_client& k) -> task<void> {
-    for (auto i = 0; i < 40 && !*ok; ++i)
-      *ok = co_await k.put(1, body);
-    if (*ok)
-      *ok = co_await k.await_held(1, 60 * second);
+  operate([is_in_force, body](operator_client& operations) -> task<void> {
+    for (auto i = 0; i < 40 && !*is_in_force; ++i)
+      *is_in_force = co_await operations.put(1, body);
+    if (*is_in_force)
+      *is_in_force = co_await operations.await_held(1, 60 * second);
   });
-  auto end = network.clock + 60 * second;
-  while (operating && network.clock < end)
+  auto deadline = network.clock + 60 * second;
+  while (operating && network.clock < deadline)
     network.run(network.clock + 100 * millisecond);
-  if (!*ok)
+  if (!*is_in_force)
     return false;
-  // Partitions must stand before clients are judged by time.
+  // Partitions must serve before the latency checks of clients apply.
   auto topics = std::vector<std::string>();
   for (auto i = 1; i <= shape.topics; ++i)
     topics.push_back((i % 2 ? "alerts/t" : "lookups/t") + std::to_string(i));
   for (auto i = 1; i <= shape.clients; ++i) {
-    auto p = client::plan();
-    p.name = "caller-" + std::to_string(i);
-    for (auto k = 0; k < 3; ++k) {
-      auto t = topics[static_cast<std::size_t>((i * 3 + k * 2) % shape.topics)];
-      if (std::find(p.subscribed_topics.begin(), p.subscribed_topics.end(), t) == p.subscribed_topics.end())
-        p.subscribed_topics.push_back(t);
+    auto plan = client::plan();
+    plan.name = "caller-" + std::to_string(i);
+    for (auto subscription = 0; subscription < 3; ++subscription) {
+      auto topic = topics[static_cast<std::size_t>((i * 3 + subscription * 2) % shape.topics)];
+      if (std::find(plan.subscribed_topics.begin(), plan.subscribed_topics.end(), topic) ==
+          plan.subscribed_topics.end())
+        plan.subscribed_topics.push_back(topic);
     }
-    p.published_topics = {topics[static_cast<std::size_t>(i % shape.topics)],
-                          topics[static_cast<std::size_t>((i * 5 + 1) % shape.topics)]};
-    p.every = shape.every;
-    p.pipe = static_cast<int>(shape.pipeline);
-    p.drop = shape.drop;
-    p.echo = shape.echo;
-    clients.push_back(std::make_unique<client>(*outside, *client_balancer, observed, p));
+    plan.published_topics = {topics[static_cast<std::size_t>(i % shape.topics)],
+                             topics[static_cast<std::size_t>((i * 5 + 1) % shape.topics)]};
+    plan.every = shape.every;
+    plan.pipe = static_cast<int>(shape.pipeline);
+    plan.drop = shape.drop;
+    plan.echo = shape.echo;
+    clients.push_back(std::make_unique<client>(*outside, *client_balancer, observed, plan));
   }
   network.run(network.clock + 3 * second);
   if (operator_polls)
@@ -544,28 +553,28 @@
   return true;
 }
 
-auto fleet::reset_links(double share) -> void {
-  for (auto& c : clients)
+auto fleet::reset_client_connections(double share) -> void {
+  for (auto& connected_client : clients)
     if (std::uniform_real_distribution<>(0, 1)(network.random_engine) < share)
-      c->reset();
+      connected_client->reset();
 }
 
 auto fleet::finish(monotonic_time quiet) -> void {
-  for (auto& c : clients)
-    c->stop_publishing();
+  for (auto& running_client : clients)
+    running_client->stop_publishing();
   network.run(network.clock + quiet);
-  auto ok = std::make_shared<bool>(false);
-  auto due = network.clock + 20 * second;
+  auto is_read_back = std::make_shared<bool>(false);
+  auto deadline = network.clock + 20 * second;
   auto from = std::vector<std::string>();
-  for (auto& n : names("queen"))
-    if (processes.at(n)->up())
-      from.push_back(processes.at(n)->settings.http_address);
-  operate([ok, from, due](operator_client& k) -> task<void> {
-    *ok = co_await k.read_all(from, due);
+  for (auto& name : names("queen"))
+    if (processes.at(name)->up())
+      from.push_back(processes.at(name)->settings.http_address);
+  operate([is_read_back, from, deadline](operator_client& operations) -> task<void> {
+    *is_read_back = co_await operations.read_all(from, deadline);
   });
-  while (operating && network.clock < due + 10 * second)
+  while (operating && network.clock < deadline + 10 * second)
     network.run(network.clock + 100 * millisecond);
-  if (!*ok)
+  if (!*is_read_back)
     observed.note(*outside, object{{"e", "newest"}, {"number", 0}, {"t0", network.clock / millisecond}});
   observed.note(*outside, object{{"e", "end"}, {"quiet", quiet / millisecond}});
 }
--- a/tools/simulator/fleet_test.cpp
+++ b/tools/simulator/fleet_test.cpp
@@ -1,3 +1,4 @@
+// Tests of safety rules, disk formats and takeovers on a simulated fleet.
 #include "simulator/fleet.hpp"
 
 #include <algorithm>
@@ -8,588 +9,621 @@
 #include "rpc/server.hpp"
 #include "runtime/log.hpp"
 
-// After all others: it redefines new.
+// Must be the last include because CppUTest redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 namespace {
 using namespace reachridge;
-auto quiet_shape() -> fleet_shape {
-  auto s = fleet_shape();
-  s.clients = 0;
-  return s;
+auto shape_without_clients() -> fleet_shape {
+  auto shape = fleet_shape();
+  shape.clients = 0;
+  return shape;
 }
-auto call(fleet& f, const std::string& verb, const std::string& path, const std::string& body) -> http_reply {
-  auto out = std::make_shared<http_reply>();
-  f.operator_tasks->spawn(
-      [](fleet& fl, std::string v, std::string p, std::string b, std::shared_ptr<http_reply> o) -> task<void> {
-        *o = co_await fetch(*fl.outside, fl.gateway_addresses[0], v, p, b, fl.outside->now() + 2 * second);
-      }(f, verb, path, body, out));
-  f.network.run(f.network.clock + 2 * second);
-  return *out;
+auto call_gateway(fleet& cluster, const std::string& method, const std::string& path, const std::string& body)
+    -> http_reply {
+  auto reply = std::make_shared<http_reply>();
+  cluster.operator_tasks->spawn([](fleet& fleet_, std::string request_method, std::string request_path,
+                                   std::string request_body, std::shared_ptr<http_reply> result) -> task<void> {
+    *result = co_await fetch(*fleet_.outside, fleet_.gateway_addresses[0], request_method, request_path, request_body,
+                             fleet_.outside->now() + 2 * second);
+  }(cluster, method, path, body, reply));
+  cluster.network.run(cluster.network.clock + 2 * second);
+  return *reply;
 }
 }  // namespace
 TEST_GROUP(protections){};
-// Asks a control node for its vote, as a candidate that has everything would; -1: no answer.
+// Requests a vote as a candidate with a complete log. Returns 1 if the vote is granted, 0 if refused, -1 without a
+// reply. `ignores_leader` requests the vote although the voter may have a live leader.
 namespace {
-auto vote(fleet& f, const std::string& voter, const std::string& from, bool go) -> int {
-  auto ok = std::make_shared<int>(-1);
-  auto addr = f.processes.at(voter)->settings.address;
-  f.operator_tasks->spawn(
-      [](fleet& fl, std::string to, std::string who, bool urged, std::shared_ptr<int> o) -> task<void> {
-        auto c = peer_connection(*fl.outside, peer_connection::options{"test", to, 100 * millisecond, second});
-        while (!c.is_up())
-          co_await sleep_for(*fl.outside, 10 * millisecond);
-        auto q = value(object{{"op", "l.vote"},
-                              {"term", 1000},
-                              {"from", who},
-                              {"last", 1000000},
-                              {"last_term", 999},
-                              {"dry", false},
-                              {"go", urged}});
-        auto r = co_await c.call(std::move(q), fl.outside->now() + second);
-        *o = get_bool(r, "ok");
-        fl.network.stopped = true;
-      }(f, addr, from, go, ok));
-  auto end = f.network.clock + 3 * second;
-  while (*ok < 0 && f.network.clock < end)
-    f.network.run(f.network.clock + 10 * millisecond);
-  return *ok;
+auto request_vote(fleet& cluster, const std::string& voter, const std::string& candidate_address, bool ignores_leader)
+    -> int {
+  auto vote = std::make_shared<int>(-1);
+  auto address = cluster.processes.at(voter)->settings.address;
+  cluster.operator_tasks->spawn([](fleet& fleet_, std::string voter_address, std::string candidate,
+                                   bool ignores_leader_, std::shared_ptr<int> result) -> task<void> {
+    auto connection =
+        peer_connection(*fleet_.outside, peer_connection::options{"test", voter_address, 100 * millisecond, second});
+    while (!connection.is_up())
+      co_await sleep_for(*fleet_.outside, 10 * millisecond);
+    auto request = value(object{{"op", "l.vote"},
+                                {"term", 1000},
+                                {"from", candidate},
+                                {"last", 1000000},
+                                {"last_term", 999},
+                                {"dry", false},
+                                {"go", ignores_leader_}});
+    auto reply = co_await connection.call(std::move(request), fleet_.outside->now() + second);
+    *result = get_bool(reply, "ok");
+    fleet_.network.stopped = true;
+  }(cluster, address, candidate_address, ignores_leader, vote));
+  auto deadline = cluster.network.clock + 3 * second;
+  while (*vote < 0 && cluster.network.clock < deadline)
+    cluster.network.run(cluster.network.clock + 10 * millisecond);
+  return *vote;
 }
-auto follower(const fleet& f) -> std::string {
-  return f.leader() == "queen-1" ? "queen-2" : "queen-1";
+auto first_follower(const fleet& cluster) -> std::string {
+  return cluster.leader() == "queen-1" ? "queen-2" : "queen-1";
 }
 }  // namespace
-// A vote is on the disk before it is told: after a loss of power the same term has no second one.
+// A voter stores its vote before it replies. After a power loss it must not vote for another candidate in the same
+// term.
 TEST(protections, a_voter_votes_once_in_a_term) {
-  auto f = fleet(21, quiet_shape());
-  CHECK(f.begin());
-  auto who = follower(f);
-  LONGS_EQUAL(1, vote(f, who, "10.7.7.1:1", true));
-  f.power(f.processes.at(who)->machine->name, false);
-  f.power(f.processes.at(who)->machine->name, true);
-  LONGS_EQUAL(0, vote(f, who, "10.7.7.2:1", true));
-  LONGS_EQUAL(1, vote(f, who, "10.7.7.1:1", true));
+  auto cluster = fleet(21, shape_without_clients());
+  CHECK(cluster.begin());
+  auto voter = first_follower(cluster);
+  LONGS_EQUAL(1, request_vote(cluster, voter, "10.7.7.1:1", true));
+  cluster.power(cluster.processes.at(voter)->machine->name, false);
+  cluster.power(cluster.processes.at(voter)->machine->name, true);
+  LONGS_EQUAL(0, request_vote(cluster, voter, "10.7.7.2:1", true));
+  LONGS_EQUAL(1, request_vote(cluster, voter, "10.7.7.1:1", true));
 }
-// It may have promised its leader quiet just before it went down: leases hang on that.
-TEST(protections, a_restarted_voter_is_quiet_first) {
-  auto f = fleet(25, quiet_shape());
-  CHECK(f.begin());
-  auto who = follower(f);
-  auto box = f.processes.at(who)->machine->name;
-  for (const auto& q : f.names("queen"))
-    if (q != who) {
-      f.network.cut(box, f.processes.at(q)->machine->name);
-      f.network.cut(f.processes.at(q)->machine->name, box);
+// A restarted voter must not vote until the quiet period of a promise that it may have made to the leader has passed,
+// because leases depend on that promise.
+TEST(protections, a_restarted_voter_does_not_vote_during_the_quiet_period) {
+  auto cluster = fleet(25, shape_without_clients());
+  CHECK(cluster.begin());
+  auto voter = first_follower(cluster);
+  auto machine = cluster.processes.at(voter)->machine->name;
+  for (const auto& other : cluster.names("queen"))
+    if (other != voter) {
+      cluster.network.cut(machine, cluster.processes.at(other)->machine->name);
+      cluster.network.cut(cluster.processes.at(other)->machine->name, machine);
     }
-  f.power(box, false);
-  f.power(box, true);
-  LONGS_EQUAL(0, vote(f, who, "10.7.7.1:1", false));
-  f.network.run(f.network.clock + 2 * second);
-  LONGS_EQUAL(1, vote(f, who, "10.7.7.1:1", false));
+  cluster.power(machine, false);
+  cluster.power(machine, true);
+  LONGS_EQUAL(0, request_vote(cluster, voter, "10.7.7.1:1", false));
+  cluster.network.run(cluster.network.clock + 2 * second);
+  LONGS_EQUAL(1, request_vote(cluster, voter, "10.7.7.1:1", false));
 }
-// What a thawed or cut-off primary still sends changes nothing, on a live primary or a backup.
-TEST(protections, frames_and_joins_of_a_lower_epoch_are_refused) {
-  auto f = fleet(22, quiet_shape());
-  CHECK(f.begin());
-  auto id = std::string("alerts/0");
-  auto tried = 0;
-  for (const auto& who :
-       {f.primary_of(id),
-        node_of_member(f.processes.at(f.primary_of(id))->storage->session.view.partitions.at(id).backups().at(0))}) {
-    auto& c = *f.processes.at(who)->storage;
-    auto last = get_int(c.held_partition(id)->status(), "last");
-    auto said = std::make_shared<std::string>();
-    f.operator_tasks->spawn([](fleet& fl, std::string to, std::string cell_id, std::int64_t at, std::int64_t epoch,
-                               std::shared_ptr<std::string> o) -> task<void> {
-      auto link = peer_connection(*fl.outside, peer_connection::options{"test", to, 100 * millisecond, second});
-      link.on_notification = [o](const value& t) {
-        *o += get_bool(t, "nack") ? "nack " : "taken ";
+// Messages of a resumed or cut-off former primary must not change a live primary or a backup.
+TEST(protections, messages_of_a_lower_epoch_are_refused) {
+  auto cluster = fleet(22, shape_without_clients());
+  CHECK(cluster.begin());
+  auto partition = std::string("alerts/0");
+  auto checked_nodes = 0;
+  for (const auto& node :
+       {cluster.primary_of(partition), node_of_member(cluster.processes.at(cluster.primary_of(partition))
+                                                          ->storage->session.view.partitions.at(partition)
+                                                          .backups()
+                                                          .at(0))}) {
+    auto& storage = *cluster.processes.at(node)->storage;
+    auto last_index = get_int(storage.held_partition(partition)->status(), "last");
+    auto replies = std::make_shared<std::string>();
+    cluster.operator_tasks->spawn([](fleet& fleet_, std::string address, std::string partition_id,
+                                     std::int64_t previous_index, std::int64_t previous_epoch,
+                                     std::shared_ptr<std::string> result)
+                                      -> task<void> {
+      auto connection =
+          peer_connection(*fleet_.outside, peer_connection::options{"test", address, 100 * millisecond, second});
+      connection.on_notification = [result](const value& notification) {
+        *result += get_bool(notification, "nack") ? "nack " : "taken ";
       };
-      while (!link.is_up())
-        co_await sleep_for(*fl.outside, 10 * millisecond);
-      auto rows = array{object{{"v", 1}, {"g", true}, {"e", object{{"k", "c"}, {"d", 1}}}}};
-      link.send(object{{"op", "c.log"},
-                       {"cell", cell_id},
-                       {"epoch", 1},
-                       {"from", "comb-9/x"},
-                       {"prev", at},
-                       {"prev_epoch", epoch},
-                       {"rows", rows}});
+      while (!connection.is_up())
+        co_await sleep_for(*fleet_.outside, 10 * millisecond);
+      auto entries = array{object{{"v", 1}, {"g", true}, {"e", object{{"k", "c"}, {"d", 1}}}}};
+      connection.send(object{{"op", "c.log"},
+                             {"cell", partition_id},
+                             {"epoch", 1},
+                             {"from", "comb-9/x"},
+                             {"prev", previous_index},
+                             {"prev_epoch", previous_epoch},
+                             {"rows", entries}});
       try {
-        auto q = value(object{{"op", "c.join"}, {"cell", cell_id}, {"epoch", 1}, {"from", "comb-9/x"}, {"last", at}});
-        co_await link.call(std::move(q), fl.outside->now() + second);
-        *o += "joined";
-      } catch (const request_error& v) {
-        *o += v.code_text();
+        auto request = value(object{
+            {"op", "c.join"}, {"cell", partition_id}, {"epoch", 1}, {"from", "comb-9/x"}, {"last", previous_index}});
+        co_await connection.call(std::move(request), fleet_.outside->now() + second);
+        *result += "joined";
+      } catch (const request_error& error) {
+        *result += error.code_text();
       }
-    }(f, f.processes.at(who)->settings.address, id, last, get_int(c.held_partition(id)->status(), "epoch"), said));
-    f.network.run(f.network.clock + 200 * millisecond);
-    STRCMP_EQUAL("nack old", said->c_str());
-    CHECK(get_int(c.held_partition(id)->status(), "last") < last + 3);
-    STRCMP_EQUAL(tried ? "backup" : "primary", get_string(c.held_partition(id)->status(), "role").c_str());
-    ++tried;
+    }(cluster, cluster.processes.at(node)->settings.address, partition, last_index,
+                                      get_int(storage.held_partition(partition)->status(), "epoch"), replies));
+    cluster.network.run(cluster.network.clock + 200 * millisecond);
+    STRCMP_EQUAL("nack old", replies->c_str());
+    CHECK(get_int(storage.held_partition(partition)->status(), "last") < last_index + 3);
+    STRCMP_EQUAL(checked_nodes ? "backup" : "primary",
+                 get_string(storage.held_partition(partition)->status(), "role").c_str());
+    ++checked_nodes;
   }
 }
-// A lease alone is not enough: the configuration that came with it, or a newer one, must be there.
+// A node with a lease may serve only if it has the configuration that the lease requires, or a newer one.
 TEST(protections, a_lease_serves_only_its_configuration) {
-  auto f = fleet(26, quiet_shape());
-  auto& door = f.network.machine_at("x1", "out");
-  auto there = sim_host(f.network, door, false, 5),
-       here = sim_host(f.network, *f.network.machines.at("outside"), false, 6);
-  auto upper = task_group(there);
-  auto charter = std::string();
-  auto a = rpc_handlers();
-  a.on_call = [&](connection_ptr, value) -> task<value> {
-    auto out = object{{"lease", 2 * second}, {"need", 5}, {"cells_need", 0}};
-    if (!charter.empty())
-      out["charter"] = charter;
-    co_return out;
+  auto cluster = fleet(26, shape_without_clients());
+  auto& stub_machine = cluster.network.machine_at("x1", "out");
+  auto stub_host = sim_host(cluster.network, stub_machine, false, 5),
+       client_host = sim_host(cluster.network, *cluster.network.machines.at("outside"), false, 6);
+  auto stub_tasks = task_group(stub_host);
+  auto configuration = std::string();
+  auto handlers = rpc_handlers();
+  handlers.on_call = [&](connection_ptr, value) -> task<value> {
+    auto reply = object{{"lease", 2 * second}, {"need", 5}, {"cells_need", 0}};
+    if (!configuration.empty())
+      reply["charter"] = configuration;
+    co_return reply;
   };
-  upper.spawn(serve(there, upper, there.listen(door.ip + ":7000"), a, "test"));
-  auto c = f.processes.at("scout-1")->settings;
-  auto ses = control_session(here, c, std::vector<std::string>(1, door.ip + ":7000"));
-  charter = probe_configuration(4, f.shape.spaces());
-  f.network.run(f.network.clock + 2 * second);
-  CHECK(ses.has_lease());
-  LONGS_EQUAL(4, ses.view.configuration->number);
-  CHECK(!ses.may_serve());
-  charter = probe_configuration(5, f.shape.spaces());
-  f.network.run(f.network.clock + 2 * second);
-  CHECK(ses.may_serve());
+  stub_tasks.spawn(serve(stub_host, stub_tasks, stub_host.listen(stub_machine.ip + ":7000"), handlers, "test"));
+  auto settings = cluster.processes.at("scout-1")->settings;
+  auto session = control_session(client_host, settings, std::vector<std::string>(1, stub_machine.ip + ":7000"));
+  configuration = probe_configuration(4, cluster.shape.spaces());
+  cluster.network.run(cluster.network.clock + 2 * second);
+  CHECK(session.has_lease());
+  LONGS_EQUAL(4, session.view.configuration->number);
+  CHECK(!session.may_serve());
+  configuration = probe_configuration(5, cluster.shape.spaces());
+  cluster.network.run(cluster.network.clock + 2 * second);
+  CHECK(session.may_serve());
 }
 namespace {
-// A session with a control node that answers as `answer` says, run for a while.
-struct lone_session {
-  fleet f;
-  sim_host there, here;
-  task_group upper;
+// A control session whose control node always replies with `answer`.
+struct session_with_stub {
+  fleet simulated_fleet;
+  sim_host stub_host, client_host;
+  task_group stub_tasks;
   object answer;
-  std::unique_ptr<control_session> node;
-  explicit lone_session(object first)
-      : f(26, quiet_shape()),
-        there(f.network, f.network.machine_at("x1", "out"), false, 5),
-        here(f.network, *f.network.machines.at("outside"), false, 6),
-        upper(there),
-        answer(std::move(first)) {
-    auto addr = f.network.machine_at("x1", "out").ip + ":7000";
-    auto a = rpc_handlers();
-    a.on_call = [this](connection_ptr, value) -> task<value> {
+  std::unique_ptr<control_session> session;
+  explicit session_with_stub(object first_answer)
+      : simulated_fleet(26, shape_without_clients()),
+        stub_host(simulated_fleet.network, simulated_fleet.network.machine_at("x1", "out"), false, 5),
+        client_host(simulated_fleet.network, *simulated_fleet.network.machines.at("outside"), false, 6),
+        stub_tasks(stub_host),
+        answer(std::move(first_answer)) {
+    auto address = simulated_fleet.network.machine_at("x1", "out").ip + ":7000";
+    auto handlers = rpc_handlers();
+    handlers.on_call = [this](connection_ptr, value) -> task<value> {
       co_return answer;
     };
-    upper.spawn(serve(there, upper, there.listen(addr), a, "test"));
-    node =
-        std::make_unique<control_session>(here, f.processes.at("scout-1")->settings, std::vector<std::string>(1, addr));
+    stub_tasks.spawn(serve(stub_host, stub_tasks, stub_host.listen(address), handlers, "test"));
+    session = std::make_unique<control_session>(client_host, simulated_fleet.processes.at("scout-1")->settings,
+                                                std::vector<std::string>(1, address));
   }
-  auto run(monotonic_time span) -> void {
-    f.network.run(f.network.clock + span);
+  auto run(monotonic_time duration) -> void {
+    simulated_fleet.network.run(simulated_fleet.network.clock + duration);
   }
 };
 }  // namespace
-// A version that is not due yet does not stop a node that holds the one before.
-TEST(protections, an_older_version_serves_until_the_newer_is_due) {
-  auto first = object{{"lease", 10 * second}, {"need", 4}, {"newest", 4}, {"cells_need", 0}};
-  first["charter"] = probe_configuration(4, fleet_shape().spaces());
-  auto s = lone_session(first);
-  s.run(second);
-  CHECK(s.node->may_serve());
-  s.answer["newest"] = 5;
-  s.answer["due"] = array{array{5, 3 * second}};
-  s.run(2 * second);
-  s.answer = object{{"lease", 0}};  // as if cut off: the lease that it has runs on
-  CHECK(s.node->may_serve());
-  s.run(4 * second);
-  CHECK(s.node->has_lease());
-  CHECK(!s.node->may_serve());
+// A node with the previous version serves until the newer version is due.
+TEST(protections, an_older_version_serves_until_the_newer_one_is_due) {
+  auto first_answer = object{{"lease", 10 * second}, {"need", 4}, {"newest", 4}, {"cells_need", 0}};
+  first_answer["charter"] = probe_configuration(4, fleet_shape().spaces());
+  auto control = session_with_stub(first_answer);
+  control.run(second);
+  CHECK(control.session->may_serve());
+  control.answer["newest"] = 5;
+  control.answer["due"] = array{array{5, 3 * second}};
+  control.run(2 * second);
+  control.answer = object{{"lease", 0}};  // like a cut: the existing lease remains valid
+  CHECK(control.session->may_serve());
+  control.run(4 * second);
+  CHECK(control.session->has_lease());
+  CHECK(!control.session->may_serve());
 }
-// What has just started goes by nothing older than the newest that a majority had agreed on.
+// A node that has just started must not apply a configuration older than the newest committed one.
 TEST(protections, a_new_node_begins_with_the_newest_version) {
-  auto first = object{
+  auto first_answer = object{
       {"lease", 2 * second}, {"need", 3}, {"newest", 5}, {"due", array{array{5, 60 * second}}}, {"cells_need", 0}};
-  first["charter"] = probe_configuration(4, fleet_shape().spaces());
-  auto s = lone_session(first);
-  s.run(second);
-  CHECK(s.node->has_lease());
-  CHECK(!s.node->may_serve());
-  s.answer["charter"] = probe_configuration(5, fleet_shape().spaces());
-  s.run(second);
-  CHECK(s.node->may_serve());
+  first_answer["charter"] = probe_configuration(4, fleet_shape().spaces());
+  auto control = session_with_stub(first_answer);
+  control.run(second);
+  CHECK(control.session->has_lease());
+  CHECK(!control.session->may_serve());
+  control.answer["charter"] = probe_configuration(5, fleet_shape().spaces());
+  control.run(second);
+  CHECK(control.session->may_serve());
 }
-// When the leader before it had versions agreed on is not known to a new one: it wants them at once.
-TEST(protections, a_new_leader_wants_what_it_found_in_force_at_once) {
-  auto f = fleet(31, quiet_shape());
-  CHECK(f.begin());
-  f.network.run(f.network.clock + 2 * second);
-  auto body = f.next_configuration();
-  auto told = std::make_shared<bool>(false);
-  f.operate([&f, body, told](operator_client& k) -> task<void> {
-    *told = co_await k.put(2, body);
-    f.network.stopped = true;
+// A new leader does not know when its predecessor committed a version, so it requires that version from nodes at once.
+TEST(protections, a_new_leader_requires_the_committed_version_at_once) {
+  auto cluster = fleet(31, shape_without_clients());
+  CHECK(cluster.begin());
+  cluster.network.run(cluster.network.clock + 2 * second);
+  auto body = cluster.next_configuration();
+  auto is_acknowledged = std::make_shared<bool>(false);
+  cluster.operate([&cluster, body, is_acknowledged](operator_client& operations) -> task<void> {
+    *is_acknowledged = co_await operations.put(2, body);
+    cluster.network.stopped = true;
   });
-  while (!*told)
-    f.network.run(f.network.clock + 10 * millisecond);
-  auto agreed = f.network.clock;
-  f.kill(f.leader());
-  auto need = std::make_shared<std::int64_t>(-1);
-  while (*need < 0 && f.network.clock < agreed + 10 * second) {
-    f.network.run(f.network.clock + 10 * millisecond);
-    auto lead = f.leader();
-    if (lead.empty())
+  while (!*is_acknowledged)
+    cluster.network.run(cluster.network.clock + 10 * millisecond);
+  auto committed_at = cluster.network.clock;
+  cluster.kill(cluster.leader());
+  auto required_version = std::make_shared<std::int64_t>(-1);
+  while (*required_version < 0 && cluster.network.clock < committed_at + 10 * second) {
+    cluster.network.run(cluster.network.clock + 10 * millisecond);
+    auto leader = cluster.leader();
+    if (leader.empty())
       continue;
-    f.operator_tasks->spawn([](fleet& fl, std::string to, std::shared_ptr<std::int64_t> o) -> task<void> {
-      auto link = peer_connection(*fl.outside, peer_connection::options{"test", to, 100 * millisecond, second});
-      while (!link.is_up())
-        co_await sleep_for(*fl.outside, millisecond);
-      auto me = node_descriptor();
-      me.name = "node-9";
-      me.kind = "forager";
-      me.zone = "z1";
-      auto q = value(object{{"op", "session"}, {"me", me.to_value()}, {"vec", object()}, {"deadlines", true}});
-      auto r = co_await link.call(std::move(q), fl.outside->now() + second);
-      if (get_int_or(r, "lease", 0) > 0)
-        *o = get_int(r, "need");
-    }(f, f.processes.at(lead)->settings.address, need));
-    f.network.run(f.network.clock + 50 * millisecond);
+    cluster.operator_tasks->spawn(
+        [](fleet& fleet_, std::string address, std::shared_ptr<std::int64_t> result) -> task<void> {
+          auto connection =
+              peer_connection(*fleet_.outside, peer_connection::options{"test", address, 100 * millisecond, second});
+          while (!connection.is_up())
+            co_await sleep_for(*fleet_.outside, millisecond);
+          auto descriptor = node_descriptor();
+          descriptor.name = "node-9";
+          descriptor.kind = "forager";
+          descriptor.zone = "z1";
+          auto request =
+              value(object{{"op", "session"}, {"me", descriptor.to_value()}, {"vec", object()}, {"deadlines", true}});
+          auto reply = co_await connection.call(std::move(request), fleet_.outside->now() + second);
+          if (get_int_or(reply, "lease", 0) > 0)
+            *result = get_int(reply, "need");
+        }(cluster, cluster.processes.at(leader)->settings.address, required_version));
+    cluster.network.run(cluster.network.clock + 50 * millisecond);
   }
-  CHECK(f.network.clock <
-        agreed + f.processes.at("queen-1")->settings.lease_duration);  // not yet due by the time that it was agreed on
-  LONGS_EQUAL(2, *need);
+  // The version is not due yet, counted from its commit.
+  CHECK(cluster.network.clock < committed_at + cluster.processes.at("queen-1")->settings.lease_duration);
+  LONGS_EQUAL(2, *required_version);
 }
-// A vote from a disk other than the one seated does not count: it may have voted before it was lost.
-TEST(protections, an_amnesiac_elects_nobody) {
-  auto f = fleet(27, quiet_shape());
-  auto ids = std::make_shared<std::map<std::string, std::string>>();
+// A vote counts only if it comes from the disk that the list of voters names. A voter that lost its disk may have voted
+// before the loss.
+TEST(protections, a_vote_from_a_lost_disk_does_not_count) {
+  auto cluster = fleet(27, shape_without_clients());
+  auto disk_ids = std::make_shared<std::map<std::string, std::string>>();
   auto hosts = std::vector<std::unique_ptr<sim_host>>();
-  auto homes = std::vector<std::unique_ptr<task_group>>();
-  for (const auto& n : f.names("queen")) {
-    if (n == "queen-1")
+  auto stub_tasks = std::vector<std::unique_ptr<task_group>>();
+  for (const auto& name : cluster.names("queen")) {
+    if (name == "queen-1")
       continue;
-    auto& p = *f.processes.at(n);
-    hosts.push_back(std::make_unique<sim_host>(f.network, *p.machine, false, 9));
-    homes.push_back(std::make_unique<task_group>(*hosts.back()));
-    auto a = rpc_handlers();
-    (*ids)[n] = "seated-" + n;
-    a.on_call = [ids, n](connection_ptr, value t) -> task<value> {
-      auto out = object{{"id", (*ids)[n]},
-                        {"founded", false},
-                        {"empty", true},
-                        {"lead", ""},
-                        {"term", get_int_or(t, "term", 0)},
-                        {"ok", get_string_or(t, "op") == "l.vote"},
-                        {"last", 0}};
-      if (get_bool(t, "dry"))
-        out["term"] = 0;
-      co_return out;
+    auto& voter = *cluster.processes.at(name);
+    hosts.push_back(std::make_unique<sim_host>(cluster.network, *voter.machine, false, 9));
+    stub_tasks.push_back(std::make_unique<task_group>(*hosts.back()));
+    auto handlers = rpc_handlers();
+    (*disk_ids)[name] = "seated-" + name;
+    handlers.on_call = [disk_ids, name](connection_ptr, value request) -> task<value> {
+      auto reply = object{{"id", (*disk_ids)[name]},
+                          {"founded", false},
+                          {"empty", true},
+                          {"lead", ""},
+                          {"term", get_int_or(request, "term", 0)},
+                          {"ok", get_string_or(request, "op") == "l.vote"},
+                          {"last", 0}};
+      if (get_bool(request, "dry"))
+        reply["term"] = 0;
+      co_return reply;
     };
-    homes.back()->spawn(serve(*hosts.back(), *homes.back(), hosts.back()->listen(p.settings.address), a, "test"));
+    stub_tasks.back()->spawn(
+        serve(*hosts.back(), *stub_tasks.back(), hosts.back()->listen(voter.settings.address), handlers, "test"));
   }
-  f.start("queen-1");
-  f.network.run(f.network.clock + 200 * millisecond);
-  for (auto& [n, id] : *ids)
-    id = "lost";
-  f.network.run(f.network.clock + 5 * second);
-  CHECK(!f.processes.at("queen-1")->control->leads());
-  for (auto& [n, id] : *ids)
-    id = "seated-" + n;
-  auto led = false;
+  cluster.start("queen-1");
+  cluster.network.run(cluster.network.clock + 200 * millisecond);
+  for (auto& [name, disk_id] : *disk_ids)
+    disk_id = "lost";
+  cluster.network.run(cluster.network.clock + 5 * second);
+  CHECK(!cluster.processes.at("queen-1")->control->leads());
+  for (auto& [name, disk_id] : *disk_ids)
+    disk_id = "seated-" + name;
+  auto has_led = false;
   for (auto i = 0; i < 50; ++i) {
-    f.network.run(f.network.clock + 100 * millisecond);
-    led |= f.processes.at("queen-1")->control->leads();
+    cluster.network.run(cluster.network.clock + 100 * millisecond);
+    has_led |= cluster.processes.at("queen-1")->control->leads();
   }
-  CHECK(led);
+  CHECK(has_led);
 }
-// Two changes at once could leave two majorities that do not meet. The second waits until the first is agreed, also
-// when whoever asked for the first waits no longer.
+// Two concurrent voter changes could produce two disjoint majorities. The second change is refused until the first one
+// is committed, even if the requester of the first change no longer waits.
 TEST(protections, one_voter_is_changed_at_a_time) {
-  auto f = fleet(28, quiet_shape());
-  CHECK(f.begin());
-  auto lead = f.leader();
-  auto first = f.add_control_node();
-  for (const auto& n : f.names("queen"))
-    if (n != lead && n != first)
-      f.processes.at(n)->machine->sync_cost = 4 * second;
-  f.start(first);
-  auto& book = f.processes.at(lead)->control->raft;
-  for (auto i = 0; i < 200 && book.voters().size() == 3; ++i)
-    f.network.run(f.network.clock + 10 * millisecond);
-  LONGS_EQUAL(4, book.voters().size());  // in the log, and not agreed for seconds
-  for (auto wait : {100 * millisecond, 1500 * millisecond}) {
-    f.network.run(f.network.clock + wait);
-    auto said = std::make_shared<std::string>("no answer");
-    f.operator_tasks->spawn([](fleet& fl, std::string to, std::shared_ptr<std::string> o) -> task<void> {
-      auto c = peer_connection(*fl.outside, peer_connection::options{"test", to, 100 * millisecond, second});
-      while (!c.is_up())
-        co_await sleep_for(*fl.outside, 10 * millisecond);
-      try {
-        auto q = value(object{{"op", "l.enter"}, {"addr", "10.7.7.1:1"}, {"id", "new"}});
-        co_await c.call(std::move(q), fl.outside->now() + 500 * millisecond);
-        *o = "ok";
-      } catch (const request_error& v) {
-        *o = v.code_text();
-      }
-    }(f, f.processes.at(lead)->settings.address, said));
-    f.network.run(f.network.clock + 700 * millisecond);
-    STRCMP_EQUAL("busy", said->c_str());
-    LONGS_EQUAL(4, book.voters().size());
-    CHECK(book.is_leader());
+  auto cluster = fleet(28, shape_without_clients());
+  CHECK(cluster.begin());
+  auto leader = cluster.leader();
+  auto first_added = cluster.add_control_node();
+  for (const auto& name : cluster.names("queen"))
+    if (name != leader && name != first_added)
+      cluster.processes.at(name)->machine->sync_cost = 4 * second;
+  cluster.start(first_added);
+  auto& raft_node = cluster.processes.at(leader)->control->raft;
+  for (auto i = 0; i < 200 && raft_node.voters().size() == 3; ++i)
+    cluster.network.run(cluster.network.clock + 10 * millisecond);
+  LONGS_EQUAL(4, raft_node.voters().size());  // in the log, but not committed for seconds
+  for (auto delay : {100 * millisecond, 1500 * millisecond}) {
+    cluster.network.run(cluster.network.clock + delay);
+    auto reply_code = std::make_shared<std::string>("no answer");
+    cluster.operator_tasks->spawn(
+        [](fleet& fleet_, std::string address, std::shared_ptr<std::string> result) -> task<void> {
+          auto connection =
+              peer_connection(*fleet_.outside, peer_connection::options{"test", address, 100 * millisecond, second});
+          while (!connection.is_up())
+            co_await sleep_for(*fleet_.outside, 10 * millisecond);
+          try {
+            auto request = value(object{{"op", "l.enter"}, {"addr", "10.7.7.1:1"}, {"id", "new"}});
+            co_await connection.call(std::move(request), fleet_.outside->now() + 500 * millisecond);
+            *result = "ok";
+          } catch (const request_error& error) {
+            *result = error.code_text();
+          }
+        }(cluster, cluster.processes.at(leader)->settings.address, reply_code));
+    cluster.network.run(cluster.network.clock + 700 * millisecond);
+    STRCMP_EQUAL("busy", reply_code->c_str());
+    LONGS_EQUAL(4, raft_node.voters().size());
+    CHECK(raft_node.is_leader());
   }
 }
-// Beside gateways of the first landing, which do not count their openings: each ask of theirs is answered,
-// and one that counts is answered once for each opening, a late one not at all.
-TEST(protections, openings_are_counted_where_the_gateway_counts) {
-  auto f = fleet(30, quiet_shape());
-  CHECK(f.begin());
-  auto id = std::string("alerts/0");
-  auto said = std::make_shared<std::string>();
-  f.operator_tasks->spawn(
-      [](fleet& fl, std::string to, std::string cell_id, std::shared_ptr<std::string> o) -> task<void> {
-        auto link = peer_connection(*fl.outside, peer_connection::options{"test", to, 100 * millisecond, second});
-        link.on_notification = [o](const value& t) {
-          if (get_string_or(t, "op") == "subbed")
-            *o += get_string(t, "i") + std::to_string(get_int_or(t, "n", -1)) + " ";
-        };
-        while (!link.is_up())
-          co_await sleep_for(*fl.outside, 10 * millisecond);
-        auto ask = object{{"op", "sub"}, {"cell", cell_id}, {"i", "old"}, {"t", "alerts/x"}, {"d", "w"}, {"a", -1}};
-        for (auto i = 0; i < 2; ++i) {
-          link.send(ask);
-          co_await sleep_for(*fl.outside, 100 * millisecond);
-        }
-        ask["i"] = "new";
-        auto turns = std::vector<int>{1, 1, 2, 1};
-        for (auto n : turns) {
-          ask["n"] = n;
-          link.send(ask);
-          co_await sleep_for(*fl.outside, 100 * millisecond);
-        }
-      }(f, f.processes.at(f.primary_of(id))->settings.address, id, said));
-  f.network.run(f.network.clock + 2 * second);
-  STRCMP_EQUAL("old0 old0 new1 new2 ", said->c_str());
+// Gateways of the first release do not number their subscriptions: each of their requests is answered. A request of a
+// gateway that numbers its subscriptions is answered once for each number, and not at all if its number is outdated.
+TEST(protections, subscriptions_are_answered_once_for_each_number) {
+  auto cluster = fleet(30, shape_without_clients());
+  CHECK(cluster.begin());
+  auto partition = std::string("alerts/0");
+  auto answers = std::make_shared<std::string>();
+  cluster.operator_tasks->spawn([](fleet& fleet_, std::string address, std::string partition_id,
+                                   std::shared_ptr<std::string> result) -> task<void> {
+    auto connection =
+        peer_connection(*fleet_.outside, peer_connection::options{"test", address, 100 * millisecond, second});
+    connection.on_notification = [result](const value& notification) {
+      if (get_string_or(notification, "op") == "subbed")
+        *result += get_string(notification, "i") + std::to_string(get_int_or(notification, "n", -1)) + " ";
+    };
+    while (!connection.is_up())
+      co_await sleep_for(*fleet_.outside, 10 * millisecond);
+    auto request =
+        object{{"op", "sub"}, {"cell", partition_id}, {"i", "old"}, {"t", "alerts/x"}, {"d", "w"}, {"a", -1}};
+    for (auto i = 0; i < 2; ++i) {
+      connection.send(request);
+      co_await sleep_for(*fleet_.outside, 100 * millisecond);
+    }
+    request["i"] = "new";
+    auto numbers = std::vector<int>{1, 1, 2, 1};
+    for (auto number : numbers) {
+      request["n"] = number;
+      connection.send(request);
+      co_await sleep_for(*fleet_.outside, 100 * millisecond);
+    }
+  }(cluster, cluster.processes.at(cluster.primary_of(partition))->settings.address, partition, answers));
+  cluster.network.run(cluster.network.clock + 2 * second);
+  STRCMP_EQUAL("old0 old0 new1 new2 ", answers->c_str());
 }
-// The primary ends within an operation: what came of it is cut off, and the backup goes live.
-TEST(protections, an_unfinished_operation_is_cut_off) {
-  auto f = fleet(29, quiet_shape());
-  CHECK(f.begin());
-  auto id = std::string("alerts/0");
-  auto old = f.primary_of(id);
-  auto row = f.processes.at(old)->storage->session.view.partitions.at(id);
-  auto who = node_of_member(row.backups().at(0));
-  f.kill(old);
-  auto at = get_int(f.processes.at(who)->storage->held_partition(id)->status(), "last");
-  f.operator_tasks->spawn(
-      [](fleet& fl, std::string to, std::string cell_id, partition_assignment r, std::int64_t prev) -> task<void> {
-        auto link = peer_connection(*fl.outside, peer_connection::options{"test", to, 100 * millisecond, second});
-        while (!link.is_up())
-          co_await sleep_for(*fl.outside, 10 * millisecond);
-        auto rows = array{object{{"v", r.epoch}, {"g", false}, {"e", object{{"k", "c"}, {"d", 1}}}}};
-        link.send(object{{"op", "c.log"},
-                         {"cell", cell_id},
-                         {"epoch", r.epoch},
-                         {"from", r.primary},
-                         {"prev", prev},
-                         {"prev_epoch", r.epoch},
-                         {"rows", rows}});
-        co_await sleep_for(*fl.outside, second);
-      }(f, f.processes.at(who)->settings.address, id, row, at));
-  f.network.run(f.network.clock + 100 * millisecond);
-  LONGS_EQUAL(at + 1, get_int(f.processes.at(who)->storage->held_partition(id)->status(), "last"));
-  f.network.run(f.network.clock + 4 * second);
-  STRCMP_EQUAL(who.c_str(), f.primary_of(id).c_str());
+// The primary fails within an operation. The backup truncates the incomplete operation and takes over.
+TEST(protections, an_incomplete_operation_is_truncated) {
+  auto cluster = fleet(29, shape_without_clients());
+  CHECK(cluster.begin());
+  auto partition = std::string("alerts/0");
+  auto old_primary = cluster.primary_of(partition);
+  auto assignment = cluster.processes.at(old_primary)->storage->session.view.partitions.at(partition);
+  auto backup = node_of_member(assignment.backups().at(0));
+  cluster.kill(old_primary);
+  auto last_index = get_int(cluster.processes.at(backup)->storage->held_partition(partition)->status(), "last");
+  cluster.operator_tasks->spawn([](fleet& fleet_, std::string address, std::string partition_id,
+                                   partition_assignment current, std::int64_t previous_index) -> task<void> {
+    auto connection =
+        peer_connection(*fleet_.outside, peer_connection::options{"test", address, 100 * millisecond, second});
+    while (!connection.is_up())
+      co_await sleep_for(*fleet_.outside, 10 * millisecond);
+    auto entries = array{object{{"v", current.epoch}, {"g", false}, {"e", object{{"k", "c"}, {"d", 1}}}}};
+    connection.send(object{{"op", "c.log"},
+                           {"cell", partition_id},
+                           {"epoch", current.epoch},
+                           {"from", current.primary},
+                           {"prev", previous_index},
+                           {"prev_epoch", current.epoch},
+                           {"rows", entries}});
+    co_await sleep_for(*fleet_.outside, second);
+  }(cluster, cluster.processes.at(backup)->settings.address, partition, assignment, last_index));
+  cluster.network.run(cluster.network.clock + 100 * millisecond);
+  LONGS_EQUAL(last_index + 1,
+              get_int(cluster.processes.at(backup)->storage->held_partition(partition)->status(), "last"));
+  cluster.network.run(cluster.network.clock + 4 * second);
+  STRCMP_EQUAL(backup.c_str(), cluster.primary_of(partition).c_str());
 }
-// The leader's own copy counts only once it is synced, and a follower's likewise.
+// A log entry on the leader or on a follower counts for the commit only after it has been synced.
 TEST(protections, an_acknowledged_configuration_is_on_two_disks) {
   for (auto slow_leader : {true, false}) {
-    auto f = fleet(23, quiet_shape());
-    CHECK(f.begin());
-    auto lead = f.leader();
-    auto far = lead == "queen-3" ? "queen-2" : "queen-3";
-    for (auto& n : f.names("queen"))
-      f.processes.at(n)->machine->sync_cost = (n == lead) == slow_leader ? 300 * millisecond : millisecond;
-    f.network.cut(f.processes.at(far)->machine->name, "*");
-    f.network.cut("*", f.processes.at(far)->machine->name);
-    auto body = f.next_configuration();
-    auto told = std::make_shared<int>(-1);
-    f.operate([&f, body, told](operator_client& k) -> task<void> {
-      auto ok = co_await k.put(2, body);
-      if (ok)
-        *told = f.control_nodes_with(body);
-      f.network.stopped = true;
+    auto cluster = fleet(23, shape_without_clients());
+    CHECK(cluster.begin());
+    auto leader = cluster.leader();
+    auto cut_off_node = leader == "queen-3" ? "queen-2" : "queen-3";
+    for (auto& name : cluster.names("queen"))
+      cluster.processes.at(name)->machine->sync_cost =
+          (name == leader) == slow_leader ? 300 * millisecond : millisecond;
+    cluster.network.cut(cluster.processes.at(cut_off_node)->machine->name, "*");
+    cluster.network.cut("*", cluster.processes.at(cut_off_node)->machine->name);
+    auto body = cluster.next_configuration();
+    auto disk_count = std::make_shared<int>(-1);
+    cluster.operate([&cluster, body, disk_count](operator_client& operations) -> task<void> {
+      auto is_acknowledged = co_await operations.put(2, body);
+      if (is_acknowledged)
+        *disk_count = cluster.control_nodes_with(body);
+      cluster.network.stopped = true;
     });
-    auto end = f.network.clock + 10 * second;
-    while (*told < 0 && f.network.clock < end)
-      f.network.run(f.network.clock + 10 * millisecond);
-    CHECK(*told >= 2);
+    auto deadline = cluster.network.clock + 10 * second;
+    while (*disk_count < 0 && cluster.network.clock < deadline)
+      cluster.network.run(cluster.network.clock + 10 * millisecond);
+    CHECK(*disk_count >= 2);
   }
 }
-// "Took hold" waits for a gateway that is frozen with a lease in its hands.
-TEST(protections, took_hold_waits_for_each_lease) {
-  auto f = fleet(24, quiet_shape());
-  CHECK(f.begin());
-  f.network.run(f.network.clock + second);
-  for (auto& n : f.names("f1"))
-    f.freeze(n, true);
-  CHECK(f.processes.at("forager-1")->gateway->ready());
-  auto body = f.next_configuration();
-  auto who = std::make_shared<std::string>("never held");
-  f.operate([&f, body, who](operator_client& k) -> task<void> {
-    auto ok = co_await k.put(2, body);
-    if (ok)
-      ok = co_await k.await_held(2, f.outside->now() + 20 * second);
-    if (ok)
-      *who = f.behind(2);
-    f.network.stopped = true;
+// A configuration must not be reported as in force while a frozen gateway still has a valid lease.
+TEST(protections, in_force_waits_for_each_lease) {
+  auto cluster = fleet(24, shape_without_clients());
+  CHECK(cluster.begin());
+  cluster.network.run(cluster.network.clock + second);
+  for (auto& name : cluster.names("f1"))
+    cluster.freeze(name, true);
+  CHECK(cluster.processes.at("forager-1")->gateway->ready());
+  auto body = cluster.next_configuration();
+  auto outdated_gateway = std::make_shared<std::string>("never held");
+  cluster.operate([&cluster, body, outdated_gateway](operator_client& operations) -> task<void> {
+    auto is_in_force = co_await operations.put(2, body);
+    if (is_in_force)
+      is_in_force = co_await operations.await_held(2, cluster.outside->now() + 20 * second);
+    if (is_in_force)
+      *outdated_gateway = cluster.gateway_with_older_configuration(2);
+    cluster.network.stopped = true;
   });
-  auto end = f.network.clock + 20 * second;
-  while (f.operating && f.network.clock < end)
-    f.network.run(f.network.clock + 10 * millisecond);
-  STRCMP_EQUAL("", who->c_str());
+  auto deadline = cluster.network.clock + 20 * second;
+  while (cluster.operating && cluster.network.clock < deadline)
+    cluster.network.run(cluster.network.clock + 10 * millisecond);
+  STRCMP_EQUAL("", outdated_gateway->c_str());
 }
-// A node that is back with another disk is known not to have its copy: neither a claim nor a new pair waits
-// for the silence of what is no more (design 6.5).
-TEST(protections, a_disk_known_to_be_lost_is_not_waited_for) {
-  for (auto led : {true, false}) {
-    auto f = fleet(28, quiet_shape());
-    CHECK(f.begin());
-    auto id = std::string("alerts/0");
-    auto lost = led ? f.primary_of(id) : f.backup_of(id);
-    auto left = led ? f.backup_of(id) : f.primary_of(id);
-    f.power("all", false);
-    f.lose_disk(lost);
-    f.power("all", true);
-    auto& c = *f.processes.at(left)->storage;
-    auto seen = never, whole = never;
-    auto end = f.network.clock + 10 * second;
-    while (whole == never && f.network.clock < end) {
-      f.network.run(f.network.clock + 10 * millisecond);
-      const auto* s = c.session.view.find(lost);
-      if (seen == never && c.session.is_synchronized() && s && !s->disk_id.empty())
-        seen = f.network.clock;
-      if (const auto* one = c.held_partition(id)) {
-        auto now = one->status();
-        auto back = get_string(now, "back");
-        if (get_string(now, "role") == "primary" &&
-            get_bool(get_value(get_value(now, "copies"), back.c_str()), "joined")) {
-          const auto* b = c.session.view.find(node_of_member(back));
-          if (b && b->member() == back)
-            whole = f.network.clock;
+// A node that returns with another disk has lost its replica. Neither a takeover nor a replacement of the replica waits
+// for the failure timeout of the lost replica (design 6.5).
+TEST(protections, a_lost_disk_does_not_delay_the_takeover) {
+  for (auto loses_primary : {true, false}) {
+    auto cluster = fleet(28, shape_without_clients());
+    CHECK(cluster.begin());
+    auto partition = std::string("alerts/0");
+    auto lost_node = loses_primary ? cluster.primary_of(partition) : cluster.backup_of(partition);
+    auto remaining_node = loses_primary ? cluster.backup_of(partition) : cluster.primary_of(partition);
+    cluster.power("all", false);
+    cluster.lose_disk(lost_node);
+    cluster.power("all", true);
+    auto& storage = *cluster.processes.at(remaining_node)->storage;
+    auto detected_at = never, restored_at = never;
+    auto deadline = cluster.network.clock + 10 * second;
+    while (restored_at == never && cluster.network.clock < deadline) {
+      cluster.network.run(cluster.network.clock + 10 * millisecond);
+      const auto* descriptor = storage.session.view.find(lost_node);
+      if (detected_at == never && storage.session.is_synchronized() && descriptor && !descriptor->disk_id.empty())
+        detected_at = cluster.network.clock;
+      if (const auto* replica = storage.held_partition(partition)) {
+        auto status = replica->status();
+        auto backup = get_string(status, "back");
+        if (get_string(status, "role") == "primary" &&
+            get_bool(get_value(get_value(status, "copies"), backup.c_str()), "joined")) {
+          const auto* backup_descriptor = storage.session.view.find(node_of_member(backup));
+          if (backup_descriptor && backup_descriptor->member() == backup)
+            restored_at = cluster.network.clock;
         }
       }
     }
-    CHECK(whole != never);
-    CHECK(whole - seen < f.processes.at(left)->settings.failure_timeout / 2);
+    CHECK(restored_at != never);
+    CHECK(restored_at - detected_at < cluster.processes.at(remaining_node)->settings.failure_timeout / 2);
   }
 }
-// After a loss of all power: a leader as soon as the quiet is over, leases soon after, and partitions led as soon as
-// their storage nodes hold the replicated log's word.
-TEST(protections, all_back_at_once_wait_for_the_quiet_and_little_else) {
+// After a power loss of all machines, a leader is elected as soon as the quiet period of the voters is over. Gateways
+// get leases soon afterwards, and partitions have primaries as soon as their storage nodes have received the replicated
+// state.
+TEST(protections, recovery_from_total_power_loss_waits_only_for_the_quiet_period) {
   for (auto seed : {31, 32, 33, 34, 35, 36}) {
-    auto f = fleet(static_cast<std::uint64_t>(seed), quiet_shape());
-    CHECK(f.begin());
-    auto set = f.processes.at("queen-1")->settings;
-    f.power("all", false);
-    f.power("all", true);
-    auto start = f.network.clock;
-    auto led = never;
-    auto fresh = std::map<std::string, monotonic_time>(), lives = fresh, serves = fresh;
-    while (f.network.clock < start + 3 * second) {
-      f.network.run(f.network.clock + 5 * millisecond);
-      if (led == never && !f.leader().empty())
-        led = f.network.clock;
-      for (const auto& n : f.names("forager"))
-        if (f.processes.at(n)->gateway->is_serving())
-          serves.emplace(n, f.network.clock);
-      for (const auto& n : f.names("comb")) {
-        auto& c = *f.processes.at(n)->storage;
-        if (c.session.is_synchronized())
-          fresh.emplace(n, f.network.clock);
-        for (const auto& [id, row] : c.session.view.partitions)
-          if (const auto* one = c.held_partition(id); one && one->is_primary() && node_of_member(row.primary) == n)
-            lives.emplace(n + " " + id, f.network.clock);
+    auto cluster = fleet(static_cast<std::uint64_t>(seed), shape_without_clients());
+    CHECK(cluster.begin());
+    auto settings = cluster.processes.at("queen-1")->settings;
+    cluster.power("all", false);
+    cluster.power("all", true);
+    auto started_at = cluster.network.clock;
+    auto elected_at = never;
+    auto synchronized_at = std::map<std::string, monotonic_time>(), primary_since = synchronized_at,
+         serving_since = synchronized_at;
+    while (cluster.network.clock < started_at + 3 * second) {
+      cluster.network.run(cluster.network.clock + 5 * millisecond);
+      if (elected_at == never && !cluster.leader().empty())
+        elected_at = cluster.network.clock;
+      for (const auto& name : cluster.names("forager"))
+        if (cluster.processes.at(name)->gateway->is_serving())
+          serving_since.emplace(name, cluster.network.clock);
+      for (const auto& name : cluster.names("comb")) {
+        auto& storage = *cluster.processes.at(name)->storage;
+        if (storage.session.is_synchronized())
+          synchronized_at.emplace(name, cluster.network.clock);
+        for (const auto& [partition, assignment] : storage.session.view.partitions)
+          if (const auto* replica = storage.held_partition(partition);
+              replica && replica->is_primary() && node_of_member(assignment.primary) == name)
+            primary_since.emplace(name + " " + partition, cluster.network.clock);
       }
     }
-    CHECK(led >= start + set.failure_timeout * 3 / 8);
-    CHECK(led < start + set.failure_timeout * 3 / 8 + set.heartbeat_interval);
-    LONGS_EQUAL(3, serves.size());
-    for (const auto& [n, t] : serves)
-      CHECK(t - led < set.heartbeat_interval * 3 / 2);
-    CHECK(lives.size() >= 4);
-    for (const auto& [at, t] : lives)
-      CHECK(t - fresh.at(at.substr(0, at.find(' '))) < set.heartbeat_interval / 2);
+    CHECK(elected_at >= started_at + settings.failure_timeout * 3 / 8);
+    CHECK(elected_at < started_at + settings.failure_timeout * 3 / 8 + settings.heartbeat_interval);
+    LONGS_EQUAL(3, serving_since.size());
+    for (const auto& [name, time] : serving_since)
+      CHECK(time - elected_at < settings.heartbeat_interval * 3 / 2);
+    CHECK(primary_since.size() >= 4);
+    for (const auto& [place, time] : primary_since)
+      CHECK(time - synchronized_at.at(place.substr(0, place.find(' '))) < settings.heartbeat_interval / 2);
   }
 }
-// A control node that the leader no longer grants leases to gives what is left of the old ones: who holds its session
-// with her takes another control node while its lease still runs, not after it has ended.
-TEST(protections, a_lease_that_is_no_longer_renewed_is_sought_elsewhere_before_it_ends) {
-  auto f = fleet(41, quiet_shape());
-  CHECK(f.begin());
-  auto lead = f.leader();
-  auto tried = 0;
-  for (const auto& n : f.names("scout")) {
-    auto& s = *f.processes.at(n)->agent;
-    auto queen = std::string();
-    for (const auto& q : f.names("queen"))
-      if (f.processes.at(q)->settings.address == s.session.endpoint())
-        queen = q;
-    if (queen == lead)
+// A control node without contact to the leader only grants the remaining time of earlier leases. A node that has its
+// session there must move to another control node before its lease expires.
+TEST(protections, a_node_changes_its_control_node_before_its_lease_expires) {
+  auto cluster = fleet(41, shape_without_clients());
+  CHECK(cluster.begin());
+  auto leader = cluster.leader();
+  auto checked_nodes = 0;
+  for (const auto& name : cluster.names("scout")) {
+    auto& agent = *cluster.processes.at(name)->agent;
+    auto control_node = std::string();
+    for (const auto& candidate : cluster.names("queen"))
+      if (cluster.processes.at(candidate)->settings.address == agent.session.endpoint())
+        control_node = candidate;
+    if (control_node == leader)
       continue;
-    ++tried;
-    const auto& here = f.processes.at(queen)->machine->name;
-    const auto& there = f.processes.at(lead)->machine->name;
-    f.network.cut(here, there);
-    f.network.cut(there, here);
-    auto end = f.network.clock + 6 * second;
-    auto lacked = monotonic_time{0};
-    while (f.network.clock < end) {
-      f.network.run(f.network.clock + 10 * millisecond);
-      if (!s.session.has_lease())
-        lacked += 10 * millisecond;
+    ++checked_nodes;
+    const auto& control_machine = cluster.processes.at(control_node)->machine->name;
+    const auto& leader_machine = cluster.processes.at(leader)->machine->name;
+    cluster.network.cut(control_machine, leader_machine);
+    cluster.network.cut(leader_machine, control_machine);
+    auto deadline = cluster.network.clock + 6 * second;
+    auto time_without_lease = monotonic_time{0};
+    while (cluster.network.clock < deadline) {
+      cluster.network.run(cluster.network.clock + 10 * millisecond);
+      if (!agent.session.has_lease())
+        time_without_lease += 10 * millisecond;
     }
-    CHECK(s.session.endpoint() != f.processes.at(queen)->settings.address);
-    LONGS_EQUAL(0, lacked);
+    CHECK(agent.session.endpoint() != cluster.processes.at(control_node)->settings.address);
+    LONGS_EQUAL(0, time_without_lease);
     break;
   }
-  LONGS_EQUAL(1, tried);
+  LONGS_EQUAL(1, checked_nodes);
 }
 TEST_GROUP(disk_formats){};
-// The disks of the first landing's format, written by that version, open in this one.
-TEST(disk_formats, those_of_format_1_open) {
+// This version opens disks that the first release wrote in format 1.
+TEST(disk_formats, disks_of_format_1_open) {
   auto file = std::string(REACHRIDGE_SOURCE) + "/fixtures/format-1.json";
-  if (const auto* to = std::getenv("REACHRIDGE_SAVE_DISKS")) {  // how the fixture was made
-    auto f = fleet(11, quiet_shape());
-    CHECK(f.begin());
+  if (const auto* output_file = std::getenv("REACHRIDGE_SAVE_DISKS")) {  // writes the fixture instead
+    auto cluster = fleet(11, shape_without_clients());
+    CHECK(cluster.begin());
     for (auto i = 1; i <= 3; ++i)
-      LONGS_EQUAL(200, call(f, "POST", "/v1/publish",
-                            R"({"name":"old","topic":"alerts/x","seq":)" + std::to_string(i) + R"(,"body":"word )" +
-                                std::to_string(i) + "\"}")
+      LONGS_EQUAL(200, call_gateway(cluster, "POST", "/v1/publish",
+                                    R"({"name":"old","topic":"alerts/x","seq":)" + std::to_string(i) +
+                                        R"(,"body":"word )" + std::to_string(i) + "\"}")
                            .status);
-    f.power("all", false);
-    f.save_disks(to);
+    cluster.power("all", false);
+    cluster.save_disks(output_file);
     return;
   }
-  auto f = fleet(12, quiet_shape());
-  f.load_disks(file);
-  for (auto& n : f.names("all"))
-    f.start(n);
-  f.network.run(f.network.clock + 10 * second);
-  auto r = call(f, "GET", "/v1/read?name=me&topic=alerts/x&after=0", "");
-  LONGS_EQUAL(200, r.status);
-  LONGS_EQUAL(3, get_array(r.body, "rows").size());
-  STRCMP_EQUAL("word 2", get_string(get_array(r.body, "rows")[1], "body").c_str());
-  r = call(f, "POST", "/v1/publish", R"({"name":"old","topic":"alerts/x","seq":3,"body":"word 3"})");
-  CHECK(get_bool(r.body, "repeat"));
-  LONGS_EQUAL(200, call(f, "POST", "/v1/publish", R"({"name":"old","topic":"alerts/x","seq":4,"body":"new"})").status);
+  auto cluster = fleet(12, shape_without_clients());
+  cluster.load_disks(file);
+  for (auto& name : cluster.names("all"))
+    cluster.start(name);
+  cluster.network.run(cluster.network.clock + 10 * second);
+  auto reply = call_gateway(cluster, "GET", "/v1/read?name=me&topic=alerts/x&after=0", "");
+  LONGS_EQUAL(200, reply.status);
+  LONGS_EQUAL(3, get_array(reply.body, "rows").size());
+  STRCMP_EQUAL("word 2", get_string(get_array(reply.body, "rows")[1], "body").c_str());
+  reply = call_gateway(cluster, "POST", "/v1/publish", R"({"name":"old","topic":"alerts/x","seq":3,"body":"word 3"})");
+  CHECK(get_bool(reply.body, "repeat"));
+  LONGS_EQUAL(
+      200,
+      call_gateway(cluster, "POST", "/v1/publish", R"({"name":"old","topic":"alerts/x","seq":4,"body":"new"})").status);
 }
-TEST(disk_formats, a_foreign_or_damaged_folder_is_refused_with_the_reason) {
-  auto refuses = [](const std::string& name, const std::string& key, const std::string& val, const std::string& why) {
-    auto f = fleet(13, quiet_shape());
-    auto box = f.names(name);
-    f.processes.at(name)->machine->durable[key] = val;
+TEST(disk_formats, foreign_or_damaged_data_is_refused_with_the_reason) {
+  auto refuses = [](const std::string& name, const std::string& key, const std::string& content,
+                    const std::string& reason) {
+    auto cluster = fleet(13, shape_without_clients());
+    auto nodes = cluster.names(name);
+    cluster.processes.at(name)->machine->durable[key] = content;
     try {
-      f.start(name);
-    } catch (const request_error& v) {
-      STRCMP_CONTAINS(why.c_str(), v.message.c_str());
+      cluster.start(name);
+    } catch (const request_error& error) {
+      STRCMP_CONTAINS(reason.c_str(), error.message.c_str());
       return;
-    } catch (const decode_error& e) {
-      STRCMP_CONTAINS(why.c_str(), e.what());
+    } catch (const decode_error& error) {
+      STRCMP_CONTAINS(reason.c_str(), error.what());
       return;
     }
     FAIL("it started");
@@ -604,126 +638,128 @@
 }
 TEST_GROUP(takeover){};
 namespace {
-// How long until `done` holds, at most `most`.
-auto wait_for(fleet& f, monotonic_time most, const std::function<bool()>& done) -> monotonic_time {
-  auto from = f.network.clock;
-  while (!done() && f.network.clock < from + most)
-    f.network.run(f.network.clock + millisecond);
-  return f.network.clock - from;
+// Runs until `done` returns true or `limit` has passed. Returns the elapsed time.
+auto run_until(fleet& cluster, monotonic_time limit, const std::function<bool()>& done) -> monotonic_time {
+  auto started_at = cluster.network.clock;
+  while (!done() && cluster.network.clock < started_at + limit)
+    cluster.network.run(cluster.network.clock + millisecond);
+  return cluster.network.clock - started_at;
 }
 }  // namespace
-// A closed channel and a refused dial tell of a dead process: nobody waits for silence then (design 6.5).
-TEST(takeover, a_killed_primary_is_claimed_at_once_and_a_silent_one_is_waited_for) {
-  auto id = std::string("alerts/0");
-  for (auto silent : {false, true}) {
-    auto f = fleet(41, quiet_shape());
-    CHECK(f.begin());
-    auto old = f.primary_of(id);
-    auto lose = f.processes.at(old)->settings.failure_timeout;
-    if (silent)
-      f.power(f.processes.at(old)->machine->name, false);
+// A closed connection and a refused reconnection prove that the process has ended. The takeover then does not wait for
+// the failure timeout (design 6.5).
+TEST(takeover, a_killed_primary_is_replaced_at_once_and_a_silent_one_after_the_timeout) {
+  auto partition = std::string("alerts/0");
+  for (auto is_silent : {false, true}) {
+    auto cluster = fleet(41, shape_without_clients());
+    CHECK(cluster.begin());
+    auto old_primary = cluster.primary_of(partition);
+    auto failure_timeout = cluster.processes.at(old_primary)->settings.failure_timeout;
+    if (is_silent)
+      cluster.power(cluster.processes.at(old_primary)->machine->name, false);
     else
-      f.kill(old);
-    auto took = wait_for(f, 3 * second, [&] {
-      return !f.primary_of(id).empty();
+      cluster.kill(old_primary);
+    auto elapsed = run_until(cluster, 3 * second, [&] {
+      return !cluster.primary_of(partition).empty();
     });
-    if (silent)
-      CHECK(took > lose * 9 / 10 && took < lose * 3 / 2);
+    if (is_silent)
+      CHECK(elapsed > failure_timeout * 9 / 10 && elapsed < failure_timeout * 3 / 2);
     else
-      CHECK(took < 100 * millisecond);
+      CHECK(elapsed < 100 * millisecond);
   }
 }
-// A kept partition whose second copy is killed has another before clients are told twice to come back.
+// A partition with retention gets a new backup right after its backup is killed, before clients have to retry twice.
 TEST(takeover, a_killed_backup_is_replaced_at_once) {
-  auto s = quiet_shape();
-  s.storage_nodes = 4;
-  s.zones = 4;
-  auto f = fleet(42, s);
-  CHECK(f.begin());
-  auto id = std::string("alerts/0");
-  auto prim = f.primary_of(id), old = f.backup_of(id);
-  f.kill(old);
-  auto took = wait_for(f, 3 * second, [&] {
-    return f.backup_of(id) != old;
+  auto shape = shape_without_clients();
+  shape.storage_nodes = 4;
+  shape.zones = 4;
+  auto cluster = fleet(42, shape);
+  CHECK(cluster.begin());
+  auto partition = std::string("alerts/0");
+  auto primary = cluster.primary_of(partition), old_backup = cluster.backup_of(partition);
+  cluster.kill(old_backup);
+  auto elapsed = run_until(cluster, 3 * second, [&] {
+    return cluster.backup_of(partition) != old_backup;
   });
-  CHECK(took < 100 * millisecond);
-  STRCMP_EQUAL(prim.c_str(), f.primary_of(id).c_str());
+  CHECK(elapsed < 100 * millisecond);
+  STRCMP_EQUAL(primary.c_str(), cluster.primary_of(partition).c_str());
 }
-// A primary whose links all fall, but whose process answers, keeps its partitions.
-TEST(takeover, closed_links_of_a_living_primary_are_no_death) {
-  auto f = fleet(43, quiet_shape());
-  CHECK(f.begin());
-  auto id = std::string("alerts/0");
-  auto old = f.primary_of(id);
-  auto there = f.processes.at(f.backup_of(id))->settings.address;
-  auto epoch = f.processes.at(old)->storage->session.view.partitions.at(id).epoch;
+// A primary keeps its partitions if all its connections close but its process still accepts connections.
+TEST(takeover, a_live_primary_with_closed_connections_stays_primary) {
+  auto cluster = fleet(43, shape_without_clients());
+  CHECK(cluster.begin());
+  auto partition = std::string("alerts/0");
+  auto primary = cluster.primary_of(partition);
+  auto backup_address = cluster.processes.at(cluster.backup_of(partition))->settings.address;
+  auto epoch = cluster.processes.at(primary)->storage->session.view.partitions.at(partition).epoch;
   for (auto i = 0; i < 3; ++i) {
-    f.processes.at(old)->storage->peer(there).active->close();
-    f.network.run(f.network.clock + 500 * millisecond);
+    cluster.processes.at(primary)->storage->peer(backup_address).active->close();
+    cluster.network.run(cluster.network.clock + 500 * millisecond);
   }
-  STRCMP_EQUAL(old.c_str(), f.primary_of(id).c_str());
-  LONGS_EQUAL(epoch, f.processes.at(old)->storage->session.view.partitions.at(id).epoch);
+  STRCMP_EQUAL(primary.c_str(), cluster.primary_of(partition).c_str());
+  LONGS_EQUAL(epoch, cluster.processes.at(primary)->storage->session.view.partitions.at(partition).epoch);
 }
-// The voters' quiet protects a leader that lives: killed, it has a successor at once; silent, it is waited for
-// (design 4.4).
-TEST(takeover, a_killed_leader_has_a_successor_at_once_and_a_silent_one_is_waited_for) {
-  for (auto silent : {false, true}) {
-    auto f = fleet(44, quiet_shape());
-    CHECK(f.begin());
-    auto old = f.leader();
-    auto quiet = f.processes.at(old)->settings.failure_timeout * 3 / 8;
-    if (silent)
-      f.power(f.processes.at(old)->machine->name, false);
+// The voters' quiet period protects a live leader. A killed leader is replaced at once, a silent one only after the
+// quiet period (design 4.4).
+TEST(takeover, a_killed_leader_is_replaced_at_once_and_a_silent_one_after_the_timeout) {
+  for (auto is_silent : {false, true}) {
+    auto cluster = fleet(44, shape_without_clients());
+    CHECK(cluster.begin());
+    auto old_leader = cluster.leader();
+    auto quiet_period = cluster.processes.at(old_leader)->settings.failure_timeout * 3 / 8;
+    if (is_silent)
+      cluster.power(cluster.processes.at(old_leader)->machine->name, false);
     else
-      f.kill(old);
-    auto took = wait_for(f, 5 * second, [&] {
-      return !f.leader().empty();
+      cluster.kill(old_leader);
+    auto elapsed = run_until(cluster, 5 * second, [&] {
+      return !cluster.leader().empty();
     });
-    if (silent)
-      CHECK(took > quiet * 3 / 4);
+    if (is_silent)
+      CHECK(elapsed > quiet_period * 3 / 4);
     else
-      CHECK(took < 150 * millisecond);
+      CHECK(elapsed < 150 * millisecond);
   }
 }
-// While a pair moves, the old copy's word still lets outputs out: the new one may claim a moment after
-// the replicated log has it in step, so it must hold every entry of which one has left (design 6.6).
-TEST(protections, a_copy_in_step_has_all_that_was_said) {
-  auto shape_ = fleet_shape();
-  shape_.clients = 24;
-  shape_.every = 20 * millisecond;
-  shape_.pipeline = 8;
-  shape_.partitions = 1;
-  shape_.keep_low = 35;
-  auto moves = 0;
+// While a backup is replaced, acknowledgements of the old backup still release entries. The new backup may take over as
+// soon as the replicated log lists it as in sync, so it must then have every released entry (design 6.6).
+TEST(protections, an_in_sync_backup_has_all_released_entries) {
+  auto shape = fleet_shape();
+  shape.clients = 24;
+  shape.every = 20 * millisecond;
+  shape.pipeline = 8;
+  shape.partitions = 1;
+  shape.keep_low = 35;
+  auto completed_moves = 0;
   for (auto seed : {41, 42}) {
-    auto f = fleet(static_cast<std::uint64_t>(seed), shape_);
-    CHECK(f.begin());
-    f.network.run(f.network.clock + second);
-    auto id = std::string("alerts/0");
-    auto prim = f.primary_of(id), back = f.backup_of(id), late = std::string();
-    for (const auto& n : f.names("comb"))
-      if (n != prim && n != back)
-        late = n;
-    f.processes.at(late)->machine->sync_cost = 60 * millisecond;  // the new copy trails behind the old one
-    f.operate([&](operator_client& k) -> task<void> {
-      return [](operator_client& kk, std::string n) -> task<void> {
-        co_await kk.leave(n, "drain", 10 * second);
-      }(k, back);
+    auto cluster = fleet(static_cast<std::uint64_t>(seed), shape);
+    CHECK(cluster.begin());
+    cluster.network.run(cluster.network.clock + second);
+    auto partition = std::string("alerts/0");
+    auto primary = cluster.primary_of(partition), old_backup = cluster.backup_of(partition), new_backup = std::string();
+    for (const auto& name : cluster.names("comb"))
+      if (name != primary && name != old_backup)
+        new_backup = name;
+    cluster.processes.at(new_backup)->machine->sync_cost = 60 * millisecond;  // the new backup lags behind the old one
+    cluster.operate([&](operator_client& operations) -> task<void> {
+      return [](operator_client& operator_, std::string name) -> task<void> {
+        co_await operator_.leave(name, "drain", 10 * second);
+      }(operations, old_backup);
     });
-    auto end = f.network.clock + 8 * second;
-    auto said = std::int64_t{0};
-    while (f.backup_of(id) != late && f.network.clock < end) {
-      if (const auto* c = f.processes.at(prim)->storage->held_partition(id); c && c->is_primary())
-        said = get_int(c->status(), "spoken");
-      f.network.run(f.network.clock + millisecond);
+    auto deadline = cluster.network.clock + 8 * second;
+    auto released_index = std::int64_t{0};
+    while (cluster.backup_of(partition) != new_backup && cluster.network.clock < deadline) {
+      if (const auto* replica = cluster.processes.at(primary)->storage->held_partition(partition);
+          replica && replica->is_primary())
+        released_index = get_int(replica->status(), "spoken");
+      cluster.network.run(cluster.network.clock + millisecond);
     }
-    if (f.backup_of(id) != late || f.primary_of(id) != prim)
+    if (cluster.backup_of(partition) != new_backup || cluster.primary_of(partition) != primary)
       continue;
-    ++moves;
-    const auto* has = f.processes.at(late)->storage->held_partition(id);
-    CHECK(has != nullptr);
-    CHECK(said > 0);
-    CHECK(get_int(has->status(), "solid") >= said);
+    ++completed_moves;
+    const auto* new_replica = cluster.processes.at(new_backup)->storage->held_partition(partition);
+    CHECK(new_replica != nullptr);
+    CHECK(released_index > 0);
+    CHECK(get_int(new_replica->status(), "solid") >= released_index);
   }
-  CHECK(moves >= 2);
+  CHECK(completed_moves >= 2);
 }
--- a/tools/simulator/operator_clients.hpp
+++ b/tools/simulator/operator_clients.hpp
@@ -1,5 +1,6 @@
-// Several operators who give orders to a simulated fleet at once, through the control nodes' own interface: each
-// sends an order to any control node, again to any other while it has no clear answer, and gives up in the end.
+// Concurrent operators of a simulated fleet that use the HTTP interface of the control nodes. Each operator sends an
+// order to a random control node, retries it on random control nodes until the answer is definite, and gives up after a
+// timeout.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -12,52 +13,56 @@
 
 namespace reachridge {
 
+// Runs the operators as tasks of the fleet and records their orders for the linearizability check.
 class operator_clients {
  public:
-  // The fleet must have begun; its first configuration is the first order of the history.
-  operator_clients(fleet& target, std::uint64_t seed);
-  // Spawns the operators, who begin no order after `until`.
+  // Requires a started fleet. Its first configuration is the first order of the history.
+  operator_clients(fleet& simulated_fleet, std::uint64_t seed);
+  // Spawns the operators. They send no new order after `until`.
   auto start(int operators, monotonic_time until) -> void;
-  [[nodiscard]] auto busy() const -> bool {
-    return working_ > 0;
+  // Returns whether any operator or reader has not finished.
+  [[nodiscard]] auto is_busy() const -> bool {
+    return running_tasks_ > 0;
   }
-  // Reads everything once, from any control node that answers before `until`.
+  // Reads the configuration and all drains once, from any control node that answers before `until`.
   auto read_all(monotonic_time until) -> task<void>;
+  // Returns all recorded orders.
   [[nodiscard]] auto history() const -> const std::vector<operator_order>& {
-    return seen_;
+    return history_;
   }
 
  private:
-  struct answer {
+  struct order_answer {
     order_outcome outcome = order_outcome::unknown;
-    bool not_now = false;  // refused for want of a leader, of other nodes or the like: nothing happened
+    bool is_temporary = false;  // refused temporarily, for example without a leader: the order had no effect
     value body;
   };
-  struct call {
-    std::string verb, path, body;
+  struct order_request {
+    std::string method, path, body;
   };
-  auto work(std::string client, monotonic_time until) -> task<void>;
-  auto give(operator_order order, call what) -> task<void>;
-  auto put(std::string client) -> task<void>;
-  auto begin_leaving(std::string client) -> task<void>;
-  auto withdraw_leaving(std::string client) -> task<void>;
-  auto read_configuration(std::string client, monotonic_time patience) -> task<bool>;
-  auto read_leavings(std::string client, monotonic_time patience) -> task<bool>;
-  auto ask(call what, monotonic_time patience) -> task<answer>;
+  auto run_operator(std::string client, monotonic_time until) -> task<void>;
+  // Sends an order until the answer is definite or the operator gives up.
+  auto send_until_answered(operator_order order, order_request request) -> task<void>;
+  auto put_configuration(std::string client) -> task<void>;
+  auto begin_drain(std::string client) -> task<void>;
+  auto withdraw_drain(std::string client) -> task<void>;
+  auto read_configuration(std::string client, monotonic_time timeout) -> task<bool>;
+  auto read_drains(std::string client, monotonic_time timeout) -> task<bool>;
+  auto send_request(order_request request, monotonic_time timeout) -> task<order_answer>;
   [[nodiscard]] auto now_ms() const -> std::int64_t {
-    return target_.network.clock / millisecond;
+    return fleet_.network.clock / millisecond;
   }
-  auto below(std::uint64_t limit) -> std::uint64_t {
-    return dice_() % limit;
+  auto random_below(std::uint64_t limit) -> std::uint64_t {
+    return random_engine_() % limit;
   }
-  auto any_object() -> std::string;
+  auto draw_object() -> std::string;
 
-  fleet& target_;
-  std::mt19937_64 dice_;
-  std::vector<std::string> objects_;  // nodes, and zones as the control nodes name them
-  std::vector<operator_order> seen_;
-  std::int64_t newest_number_ = 1, contents_ = 0;
-  int working_ = 0;
+  fleet& fleet_;
+  std::mt19937_64 random_engine_;
+  std::vector<std::string> objects_;  // storage nodes, and zones by the keys of the control nodes
+  std::vector<operator_order> history_;
+  std::int64_t newest_number_ = 1, content_count_ = 0;
+  int running_tasks_ = 0;
 };
 
 }  // namespace reachridge
--- a/tools/simulator/operator_orders.cpp
+++ b/tools/simulator/operator_orders.cpp
@@ -8,10 +8,11 @@
 namespace reachridge {
 namespace {
 
-constexpr auto retire_limit = 40 * second;
-constexpr auto no_limit = never / 2;
-constexpr auto catch_up_poll = 5 * millisecond;
-constexpr auto voters_of_a_majority = 3;  // with fewer control nodes one disk may hold an acknowledged configuration
+constexpr auto retire_timeout = 40 * second;
+constexpr auto no_deadline = never / 2;
+constexpr auto catch_up_poll_interval = 5 * millisecond;
+// With fewer control nodes, an acknowledged configuration may be on one disk only.
+constexpr auto least_voters_for_two_disks = 3;
 
 }  // namespace
 
@@ -25,7 +26,7 @@
   send_configuration(number, body);
   if (kind != "configure_race")
     return;
-  // Racing operators send different contents under one number; one may win.
+  // Racing operators send different contents with the same number. At most one of them succeeds.
   auto other_spaces = fleet_.shape.spaces() + R"(,{"name":"other","keep_s":0,"cells":1})";
   send_configuration(number, probe_configuration(number, other_spaces));
 }
@@ -36,7 +37,7 @@
   if (number < 1)
     return;
   fleet_.operate([this, body](operator_client& client) -> task<void> {
-    auto reply = co_await client.ask("PUT", "/v1/charter", body, no_limit);
+    auto reply = co_await client.ask("PUT", "/v1/charter", body, no_deadline);
     ++counts_[reply.status == 200 ? "stale_taken" : "stale_refused"];
   });
 }
@@ -44,7 +45,7 @@
 auto operator_orders::send_invalid_configuration() -> void {
   fleet_.operate([this](operator_client& client) -> task<void> {
     auto body = std::string(R"({"number":999999,"spaces":[{"name":"x","keep_s":-5,"odd":1}],"rules":["allow what"]})");
-    auto reply = co_await client.ask("PUT", "/v1/charter", body, no_limit);
+    auto reply = co_await client.ask("PUT", "/v1/charter", body, no_deadline);
     ++counts_[reply.status == 200 ? "bad_taken" : "bad_refused"];
   });
 }
@@ -63,65 +64,66 @@
     co_return;
   }
   ++counts_["configure_won"];
-  expect_in_force(number);
+  check_in_force_after_lease(number);
   auto is_newest = fleet_.configuration_number == number;
-  auto has_majority = fleet_.shape.control_nodes >= voters_of_a_majority;
+  auto has_majority = fleet_.shape.control_nodes >= least_voters_for_two_disks;
   if (is_newest && has_majority && fleet_.control_nodes_with(body) < 2)
     ++counts_["thin_configuration"];
-  auto in_force = co_await client.await_held(number, no_limit);
-  if (!in_force)
+  auto is_in_force = co_await client.await_held(number, no_deadline);
+  if (!is_in_force)
     co_return;
   ++counts_["held"];
-  if (!fleet_.behind(number).empty())
+  if (!fleet_.gateway_with_older_configuration(number).empty())
     ++counts_["held_early"];
   co_await client.probe_all(std::max<std::int64_t>(1, number - 1), number);
 }
 
-auto operator_orders::expect_in_force(std::int64_t number) -> void {
+auto operator_orders::check_in_force_after_lease(std::int64_t number) -> void {
   auto lease = fleet_.processes.begin()->second->settings.lease_duration;
   fleet_.network.schedule(fleet_.network.clock + lease, [this, number] {
-    auto late = fleet_.behind(number);
-    if (late.empty())
+    auto outdated_gateway = fleet_.gateway_with_older_configuration(number);
+    if (outdated_gateway.empty())
       return;
     ++counts_["late_in_force"];
-    log(log_level::warning, "scenario", late + " may serve by an older configuration than " + std::to_string(number));
+    log(log_level::warning, "scenario",
+        outdated_gateway + " may serve by an older configuration than " + std::to_string(number));
   });
 }
 
 auto operator_orders::configure_often(std::int64_t changes, monotonic_time interval) -> void {
   for (auto i = std::int64_t{0}; i < changes; ++i) {
-    auto is_last = i + 1 == changes;
-    fleet_.network.schedule(fleet_.network.clock + i * interval, [this, is_last] {
-      change_configuration(is_last);
+    auto is_last_change = i + 1 == changes;
+    fleet_.network.schedule(fleet_.network.clock + i * interval, [this, is_last_change] {
+      change_configuration(is_last_change);
     });
   }
 }
 
-auto operator_orders::change_configuration(bool is_last) -> void {
+auto operator_orders::change_configuration(bool is_last_change) -> void {
   auto body = fleet_.next_configuration();
   auto number = fleet_.configuration_number;
-  fleet_.operate([this, number, body, is_last](operator_client& client) -> task<void> {
+  fleet_.operate([this, number, body, is_last_change](operator_client& client) -> task<void> {
     auto sent_at = fleet_.network.clock;
     auto acknowledged = co_await client.put(number, body);
-    auto took_ms = (fleet_.network.clock - sent_at) / millisecond;
+    auto elapsed_ms = (fleet_.network.clock - sent_at) / millisecond;
     if (!acknowledged) {
-      // One that a newer change came before is refused as stale: only the last must be taken.
-      ++counts_[is_last ? "last_change_lost" : "changes_overtaken"];
+      // A change that a newer change has overtaken is refused as stale. Only the last change must be accepted.
+      ++counts_[is_last_change ? "last_change_lost" : "changes_overtaken"];
       co_return;
     }
     ++counts_["changes_acked"];
-    counts_["ack_ms"] = std::max(counts_["ack_ms"], took_ms);
-    expect_in_force(number);
-    if (is_last)
-      co_await await_catch_up(number);
+    counts_["ack_ms"] = std::max(counts_["ack_ms"], elapsed_ms);
+    check_in_force_after_lease(number);
+    if (is_last_change)
+      co_await await_configuration_everywhere(number);
   });
 }
 
-// How long it takes until every process holds the configuration.
-auto operator_orders::await_catch_up(std::int64_t number) -> task<void> {
+// Measures the time until every process has the configuration.
+auto operator_orders::await_configuration_everywhere(std::int64_t number) -> task<void> {
   auto acknowledged_at = fleet_.network.clock;
-  while (!fleet_.lagging(number).empty())
-    co_await sleep_for(*fleet_.outside, catch_up_poll);
+  while (!fleet_.process_with_older_configuration(number).empty())
+    co_await sleep_for(*fleet_.outside, catch_up_poll_interval);
   counts_["catch_up_ms"] = (fleet_.network.clock - acknowledged_at) / millisecond;
   ++counts_["caught_up"];
 }
@@ -166,18 +168,18 @@
   });
 }
 
-auto operator_orders::retire(const std::string& node, std::function<void()> once_accepted,
-                             std::function<void()> once_removed) -> void {
-  auto deadline = fleet_.network.clock + retire_limit;
-  fleet_.operate([this, node, deadline, once_accepted = std::move(once_accepted),
-                  once_removed = std::move(once_removed)](operator_client& client) -> task<void> {
-    auto completed = co_await client.leave(node, "retire", deadline, once_accepted);
+auto operator_orders::retire(const std::string& node, std::function<void()> on_accepted,
+                             std::function<void()> on_removed) -> void {
+  auto deadline = fleet_.network.clock + retire_timeout;
+  fleet_.operate([this, node, deadline, on_accepted = std::move(on_accepted),
+                  on_removed = std::move(on_removed)](operator_client& client) -> task<void> {
+    auto completed = co_await client.leave(node, "retire", deadline, on_accepted);
     ++counts_[completed ? "left" : "leave_refused"];
     if (!completed)
       co_return;
     fleet_.remove(node);
-    if (once_removed)
-      once_removed();
+    if (on_removed)
+      on_removed();
   });
 }
 
--- a/tools/simulator/operator_orders.hpp
+++ b/tools/simulator/operator_orders.hpp
@@ -1,4 +1,4 @@
-// Orders of simulated operators, sent in the midst of faults; what comes of them is counted.
+// Orders that simulated operators send during faults, with counts of their outcomes.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -9,36 +9,39 @@
 
 namespace reachridge {
 
-// How often something happened in a run, or a figure of it, by name.
+// Event counts and other figures of one run, by name.
 using event_counts = std::map<std::string, std::int64_t>;
 
-// Sends orders through the fleet's operator tasks and counts their outcomes. Used by the fault injector alone.
+// Sends orders in the fleet's operator tasks and counts their outcomes. Only the fault injector uses this class.
 class operator_orders {
  public:
-  operator_orders(fleet& target, event_counts& counts) : fleet_(target), counts_(counts) {}
+  operator_orders(fleet& simulated_fleet, event_counts& counts) : fleet_(simulated_fleet), counts_(counts) {}
 
-  // `configure`: a new one; `configure_race`: two of one number at once; `configure_stale`: an older number;
-  // `configure_invalid`: one that does not compile.
+  // Sends a configuration. `kind` is `configure` (the next one), `configure_race` (two with the same number at once),
+  // `configure_stale` (an older number) or `configure_invalid` (a configuration that does not compile).
   auto configure(const std::string& kind) -> void;
-  // So many changes of the configuration, one each interval, whether or not the ones before are answered.
+  // Changes the configuration repeatedly at a fixed interval without waiting for the answers to earlier changes.
   auto configure_often(std::int64_t changes, monotonic_time interval) -> void;
-  // One order or read to one control node, sent once: "read", "configure", "drain:NODE" or "retire:NODE".
+  // Sends one order or read to one control node without retries. `order` is "read", "configure", "drain:NODE" or
+  // "retire:NODE". Throws request_error `invalid_scenario` for any other order.
   auto send_once(const std::string& control_node, const std::string& order) -> void;
-  // Drains a node; `kind` is drain, evacuate or retire.
+  // Drains a node. `kind` is drain, evacuate or retire.
   auto drain(const std::string& node, const std::string& kind, monotonic_time deadline) -> void;
+  // Evacuates all storage nodes of a zone.
   auto evacuate_zone(const std::string& zone, monotonic_time deadline) -> void;
-  // Retires a node and, once that has completed, removes its machine. Each function may be empty.
-  auto retire(const std::string& node, std::function<void()> once_accepted, std::function<void()> once_removed) -> void;
+  // Retires a node and removes its machine after completion. Both functions may be empty.
+  auto retire(const std::string& node, std::function<void()> on_accepted, std::function<void()> on_removed) -> void;
 
  private:
   auto send_stale_configuration() -> void;
   auto send_invalid_configuration() -> void;
   auto send_configuration(std::int64_t number, std::string body) -> void;
   auto follow_configuration(operator_client& client, std::int64_t number, std::string body) -> task<void>;
-  auto change_configuration(bool is_last) -> void;
-  auto await_catch_up(std::int64_t number) -> task<void>;
-  // Once a change is acknowledged, nobody may serve by an older one for longer than a lease lasts.
-  auto expect_in_force(std::int64_t number) -> void;
+  auto change_configuration(bool is_last_change) -> void;
+  auto await_configuration_everywhere(std::int64_t number) -> task<void>;
+  // Counts a violation if a gateway may still apply an older configuration one lease duration after the
+  // acknowledgement.
+  auto check_in_force_after_lease(std::int64_t number) -> void;
 
   fleet& fleet_;
   event_counts& counts_;
--- a/tools/simulator/random_faults.hpp
+++ b/tools/simulator/random_faults.hpp
@@ -1,4 +1,4 @@
-// Faults drawn from a seed.
+// Random faults that are drawn from a seed.
 #pragma once
 #include <string>
 #include <vector>
@@ -7,12 +7,13 @@
 
 namespace reachridge {
 
-// Is this the name of a fault that can be drawn?
+// Returns whether a random fault has this name.
 [[nodiscard]] auto is_random_fault(const std::string& name) -> bool;
-// The faults that a scenario draws; the same for the same seed.
-auto draw_random_faults(const scenario& s, std::uint64_t seed) -> std::vector<scheduled_fault>;
-// Those written in the scenario, then those drawn.
-auto all_faults(const scenario& s, std::uint64_t seed) -> std::vector<scheduled_fault>;
+// Draws the random faults of a scenario. The same seed always yields the same faults.
+auto draw_random_faults(const scenario& definition, std::uint64_t seed) -> std::vector<scheduled_fault>;
+// Returns the faults that the scenario file lists, followed by the random ones.
+auto all_faults(const scenario& definition, std::uint64_t seed) -> std::vector<scheduled_fault>;
+// Sorts faults by their earliest time and keeps the order of faults with equal times.
 auto sort_by_time(std::vector<scheduled_fault>& faults) -> void;
 
 }  // namespace reachridge
--- a/tools/simulator/scenario.cpp
+++ b/tools/simulator/scenario.cpp
@@ -15,21 +15,21 @@
 namespace {
 
 constexpr auto audit_interval = 2 * second;
-constexpr auto settle_after_closing = 15 * second;
-constexpr auto fault_end_limit = 60 * second;  // how long a run waits for its last faults to end
+constexpr auto recovery_after_power_loss = 15 * second;
+constexpr auto fault_end_limit = 60 * second;  // time that a run waits for its last faults to end
 constexpr auto day_fault_end_limit = 120 * second;
 constexpr auto day_quiet = 14 * second;
 
-// What the network and the disks were used for so far.
-struct resource_use {
+// Cumulative use of the network, the disks and the processors.
+struct resource_usage {
   std::uint64_t sends, bytes, syncs, wakes;
 };
 
-auto use_of(const simulated_network& network) -> resource_use {
+auto usage_of(const simulated_network& network) -> resource_usage {
   return {network.sends, network.bytes, network.syncs, network.wakes};
 }
 
-// One figure of a run that must not be seen, and the violation that it is.
+// An event count that must be zero, and the violation to report otherwise.
 struct forbidden_count {
   const char* count;
   const char* violation;
@@ -43,27 +43,28 @@
     {"bad_taken", "an invalid configuration was taken"},
 });
 
-constexpr auto counts_shown =
+constexpr auto displayed_counts =
     std::to_array<const char*>({"try",           "acked",         "got",           "gone",           "probe",
                                 "held",          "left",          "epochs",        "slow",           "full",
                                 "alerts_p50_ms", "alerts_p99_ms", "alerts_max_ms", "lookups_p99_ms", "lookups_max_ms",
                                 "lag_ms",        "changes_acked", "ack_ms",        "catch_up_ms",    "no_lease"});
 
-// One run of a scenario: schedules its faults, watches the fleet, and judges what clients and operators saw. Owns the
-// fleet and the injector whose callbacks stand in the fleet's agenda.
+// One run of a scenario: schedules the faults, monitors the fleet and checks what clients and operators observed. Owns
+// the fleet and the injector. The fleet's pending events hold callbacks of the injector.
 class scenario_run {
  public:
-  scenario_run(const scenario& s, std::uint64_t seed) : scenario_(s), seed_(seed), fleet_(seed, s.shape) {
-    fleet_.operator_polls = s.probe_throughout || is_day();
+  scenario_run(const scenario& definition, std::uint64_t seed)
+      : scenario_(definition), seed_(seed), fleet_(seed, definition.shape) {
+    fleet_.operator_polls = definition.probe_throughout || simulates_whole_day();
   }
   auto run() -> run_result;
 
  private:
-  [[nodiscard]] auto is_day() const -> bool {
+  [[nodiscard]] auto simulates_whole_day() const -> bool {
     return !scenario_.day_shape.empty();
   }
   [[nodiscard]] auto end() const -> monotonic_time {
-    return began_at_ + scenario_.length;
+    return started_at_ + scenario_.length;
   }
   [[nodiscard]] auto now() const -> monotonic_time {
     return fleet_.network.clock;
@@ -71,21 +72,21 @@
 
   auto schedule_faults() -> void;
   auto schedule_status() -> void;
-  auto run_length() -> void;
-  auto observe() -> void;
-  auto audit_disks() -> void;
-  auto run_while_faulty(monotonic_time deadline) -> void;
+  auto run_until_end() -> void;
+  auto update_maxima() -> void;
+  auto audit_durability() -> void;
+  auto run_until_faults_end(monotonic_time deadline) -> void;
   auto lose_all_power() -> void;
   auto finish() -> void;
 
-  auto count_use(const resource_use& before, const resource_use& after) -> void;
+  auto count_resource_usage(const resource_usage& before, const resource_usage& after) -> void;
   auto count_history() -> void;
   auto count_storage_nodes() -> void;
   auto count_latencies() -> void;
   auto check_history() -> void;
   auto check_counts() -> void;
   auto write_metrics() -> void;
-  auto log_answers() -> void;
+  auto log_answer_counts() -> void;
 
   const scenario& scenario_;
   std::uint64_t seed_;
@@ -94,9 +95,9 @@
   fault_injector faults_{fleet_, counts_};
   std::vector<scheduled_fault> scheduled_;
   run_result result_;
-  monotonic_time began_at_ = 0, next_audit_ = 0;
-  std::int64_t most_lag_ms_ = 0;
-  std::size_t most_disk_rows_ = 0;
+  monotonic_time started_at_ = 0, next_audit_ = 0;
+  std::int64_t max_lag_ms_ = 0;
+  std::size_t max_disk_rows_ = 0;
 };
 
 auto scenario_run::run() -> run_result {
@@ -104,15 +105,15 @@
     result_.violations.push_back("the fleet did not begin");
     return result_;
   }
-  began_at_ = next_audit_ = now();
+  started_at_ = next_audit_ = now();
   if (scenario_.degraded_throughout)
-    faults_.fault_begins();
+    faults_.on_fault_started();
   schedule_faults();
   if (scenario_.status_at)
     schedule_status();
-  auto before = use_of(fleet_.network);
-  run_length();
-  count_use(before, use_of(fleet_.network));
+  auto before = usage_of(fleet_.network);
+  run_until_end();
+  count_resource_usage(before, usage_of(fleet_.network));
   finish();
   check_history();
   count_history();
@@ -121,7 +122,7 @@
   check_counts();
   write_metrics();
   if (!result_.violations.empty())
-    log_answers();
+    log_answer_counts();
   result_.history = fleet_.observed.rows;
   result_.digest = fleet_.network.digest.value();
   return result_;
@@ -130,17 +131,17 @@
 auto scenario_run::schedule_faults() -> void {
   scheduled_ = all_faults(scenario_, seed_);
   for (const auto& fault : scheduled_) {
-    auto at = began_at_ + fault.earliest + fault.sweep_step * static_cast<monotonic_time>(seed_ - 1);
+    auto start_time = started_at_ + fault.earliest + fault.sweep_step * static_cast<monotonic_time>(seed_ - 1);
     if (auto span = static_cast<std::uint64_t>(fault.latest - fault.earliest); span > 0)
-      at += static_cast<monotonic_time>(fleet_.network.random_engine() % span);
-    fleet_.network.schedule(at, [this, &fault] {
+      start_time += static_cast<monotonic_time>(fleet_.network.random_engine() % span);
+    fleet_.network.schedule(start_time, [this, &fault] {
       faults_.inject(fault);
     });
   }
 }
 
 auto scenario_run::schedule_status() -> void {
-  fleet_.network.schedule(began_at_ + scenario_.status_at, [this] {
+  fleet_.network.schedule(started_at_ + scenario_.status_at, [this] {
     for (const auto& [name, process] : fleet_.processes) {
       auto state = !process->up() ? " down" : process->host->frozen ? " frozen" : "";
       std::cout << name << state << ' ';
@@ -157,28 +158,28 @@
   });
 }
 
-auto scenario_run::run_length() -> void {
+auto scenario_run::run_until_end() -> void {
   while (now() < end()) {
     fleet_.network.run(std::min(end(), now() + second));
-    audit_disks();
-    observe();
+    audit_durability();
+    update_maxima();
   }
 }
 
-// The audit names the first replica whose disk lacks what it calls synced.
-auto scenario_run::audit_disks() -> void {
+// Reports the first replica whose disk lacks entries that the replica counts as durable.
+auto scenario_run::audit_durability() -> void {
   if (now() < next_audit_)
     return;
   next_audit_ = now() + audit_interval;
-  auto found = undurable_copy(fleet_);
-  if (!found.empty() && result_.violations.empty())
-    result_.violations.push_back("synced: " + found);
+  auto violation = find_undurable_replica(fleet_);
+  if (!violation.empty() && result_.violations.empty())
+    result_.violations.push_back("synced: " + violation);
 }
 
-// The largest disk, and the largest lag of a backup that has joined.
-auto scenario_run::observe() -> void {
+// Updates the maximum number of disk rows and the maximum lag of the backups that have joined.
+auto scenario_run::update_maxima() -> void {
   for (const auto& [name, process] : fleet_.processes) {
-    most_disk_rows_ = std::max(most_disk_rows_, process->machine->durable.size());
+    max_disk_rows_ = std::max(max_disk_rows_, process->machine->durable.size());
     if (!process->storage || process->host->frozen)
       continue;
     auto status = process->storage->status();
@@ -188,53 +189,53 @@
         continue;
       const auto& backup = get_value(get_value(row, "copies"), get_string_or(row, "back"));
       if (backup.is_object() && get_bool(backup, "joined"))
-        most_lag_ms_ = std::max(most_lag_ms_, get_int_or(backup, "lag_ms", 0));
+        max_lag_ms_ = std::max(max_lag_ms_, get_int_or(backup, "lag_ms", 0));
     }
   }
 }
 
-auto scenario_run::run_while_faulty(monotonic_time deadline) -> void {
-  while (faults_.active_faults() && now() < deadline)
+auto scenario_run::run_until_faults_end(monotonic_time deadline) -> void {
+  while (faults_.active_fault_count() && now() < deadline)
     fleet_.network.run(now() + second);
 }
 
-// Half of all runs close with one last fault: all power goes while clients are at it.
+// Ends half of all runs with a power loss of all machines while clients still publish.
 auto scenario_run::lose_all_power() -> void {
-  run_while_faulty(end() + fault_end_limit);
-  if (faults_.active_faults())
+  run_until_faults_end(end() + fault_end_limit);
+  if (faults_.active_fault_count())
     return;
   if (scenario_.degraded_throughout)
-    faults_.fault_begins();
+    faults_.on_fault_started();
   auto fault = scheduled_fault();
   fault.verb = "power_off";
   fault.args = {"all"};
   fault.duration = 2 * second + static_cast<monotonic_time>(fleet_.network.random_engine() % (3 * second));
   faults_.inject(fault);
-  fleet_.network.run(now() + settle_after_closing);
+  fleet_.network.run(now() + recovery_after_power_loss);
 }
 
 auto scenario_run::finish() -> void {
   if (scenario_.degraded_throughout)
-    faults_.fault_ends();
+    faults_.on_fault_ended();
   if (seed_ % 2 == 0 && scenario_.closing_power_loss)
     lose_all_power();
-  if (is_day())
-    run_while_faulty(end() + day_fault_end_limit);
-  fleet_.finish(is_day() ? day_quiet : scenario_.quiet);
-  audit_disks();
+  if (simulates_whole_day())
+    run_until_faults_end(end() + day_fault_end_limit);
+  fleet_.finish(simulates_whole_day() ? day_quiet : scenario_.quiet);
+  audit_durability();
 }
 
-// Each second, on average.
-auto scenario_run::count_use(const resource_use& before, const resource_use& after) -> void {
-  auto each_second = [&](std::uint64_t difference) {
+// Counts the average resource use per second.
+auto scenario_run::count_resource_usage(const resource_usage& before, const resource_usage& after) -> void {
+  auto per_second = [&](std::uint64_t difference) {
     return static_cast<std::int64_t>(difference * second / static_cast<std::uint64_t>(scenario_.length));
   };
-  counts_["sends"] = each_second(after.sends - before.sends);
-  counts_["wakes"] = each_second(after.wakes - before.wakes);
-  counts_["kbytes"] = each_second(after.bytes - before.bytes) / 1000;
-  counts_["syncs"] = each_second(after.syncs - before.syncs);
-  counts_["lag_ms"] = most_lag_ms_;
-  counts_["disk_rows"] = static_cast<std::int64_t>(most_disk_rows_);
+  counts_["sends"] = per_second(after.sends - before.sends);
+  counts_["wakes"] = per_second(after.wakes - before.wakes);
+  counts_["kbytes"] = per_second(after.bytes - before.bytes) / 1000;
+  counts_["syncs"] = per_second(after.syncs - before.syncs);
+  counts_["lag_ms"] = max_lag_ms_;
+  counts_["disk_rows"] = static_cast<std::int64_t>(max_disk_rows_);
 }
 
 auto scenario_run::check_history() -> void {
@@ -244,11 +245,11 @@
 
 auto scenario_run::count_history() -> void {
   for (const auto& [name, count] : fleet_.observed.counts)
-    counts_[name.substr(name.rfind(' ') + 1)] += count;  // by code
+    counts_[name.substr(name.rfind(' ') + 1)] += count;  // by the code at the end of the name
   static const auto counted_events = std::set<std::string>{"got", "try", "probe", "newest"};
   for (const auto& event : fleet_.observed.rows)
-    if (auto kind = get_string(event, "e"); counted_events.count(kind))
-      ++counts_[kind];
+    if (auto event_name = get_string(event, "e"); counted_events.count(event_name))
+      ++counts_[event_name];
 }
 
 auto scenario_run::count_storage_nodes() -> void {
@@ -285,28 +286,28 @@
     if (counts_[count])
       result_.violations.push_back(violation);
   for (const auto& [expectation, bound] : scenario_.expected_counts) {
-    auto is_least = expectation[0] != '<';
-    auto name = is_least ? expectation : expectation.substr(1);
+    auto is_minimum = expectation[0] != '<';
+    auto name = is_minimum ? expectation : expectation.substr(1);
     auto seen = counts_[name];
-    if (is_least ? seen >= bound : seen <= bound)
+    if (is_minimum ? seen >= bound : seen <= bound)
       continue;
-    result_.violations.push_back("wanted " + std::string(is_least ? "at least " : "at most ") + std::to_string(bound) +
-                                 " of " + name + ", saw " + std::to_string(seen));
+    result_.violations.push_back("wanted " + std::string(is_minimum ? "at least " : "at most ") +
+                                 std::to_string(bound) + " of " + name + ", saw " + std::to_string(seen));
   }
 }
 
 auto scenario_run::write_metrics() -> void {
-  auto out = std::ostringstream();
-  for (const auto* name : counts_shown)
+  auto text = std::ostringstream();
+  for (const auto* name : displayed_counts)
     if (counts_[name])
-      out << name << ' ' << counts_[name] << ' ';
-  out << "sends/s " << counts_["sends"] << " kB/s " << counts_["kbytes"] << " syncs/s " << counts_["syncs"]
-      << " wakes/s " << counts_["wakes"] << ' ';
-  out << "steps " << fleet_.network.steps;
-  result_.metrics = out.str();
+      text << name << ' ' << counts_[name] << ' ';
+  text << "sends/s " << counts_["sends"] << " kB/s " << counts_["kbytes"] << " syncs/s " << counts_["syncs"]
+       << " wakes/s " << counts_["wakes"] << ' ';
+  text << "steps " << fleet_.network.steps;
+  result_.metrics = text.str();
 }
 
-auto scenario_run::log_answers() -> void {
+auto scenario_run::log_answer_counts() -> void {
   auto text = std::string("answers:");
   for (const auto& [answer, count] : fleet_.observed.counts)
     text += " [" + answer + "] " + std::to_string(count);
@@ -315,8 +316,8 @@
 
 }  // namespace
 
-auto run_scenario(const scenario& s, std::uint64_t seed) -> run_result {
-  return scenario_run(s, seed).run();
+auto run_scenario(const scenario& definition, std::uint64_t seed) -> run_result {
+  return scenario_run(definition, seed).run();
 }
 
 }  // namespace reachridge
--- a/tools/simulator/scenario_reader.hpp
+++ b/tools/simulator/scenario_reader.hpp
@@ -1,4 +1,4 @@
-// Scenario files as text: read, checked and written.
+// Reads, checks and writes scenario files.
 #pragma once
 #include <string>
 
@@ -6,15 +6,16 @@
 
 namespace reachridge {
 
-// Throws request_error `invalid_scenario` that names the line of a fault.
+// Reads a scenario file. Throws request_error `invalid_scenario`, whose text names the line that is wrong.
 auto read_scenario(const std::string& file) -> scenario;
-// The scenario as a file of its own, with the faults that the seed draws written down.
-auto write_scenario(const scenario& s, std::uint64_t seed) -> std::string;
+// Returns the text of a scenario file that contains the random faults of the seed as scheduled faults.
+auto write_scenario(const scenario& definition, std::uint64_t seed) -> std::string;
 
-// A number as a scenario writes it; throws request_error `invalid_scenario`.
+// Parses a number of a scenario file. Throws request_error `invalid_scenario`.
 auto parse_number(const std::string& text) -> double;
+// Parses a time in seconds. Throws request_error `invalid_scenario`.
 auto parse_seconds(const std::string& text) -> monotonic_time;
-// Seconds, as parse_seconds reads them back.
+// Returns the time in seconds as text that parse_seconds reads.
 auto format_seconds(monotonic_time time) -> std::string;
 
 }  // namespace reachridge
--- a/tools/simulator/scenario_shrink.cpp
+++ b/tools/simulator/scenario_shrink.cpp
@@ -9,52 +9,55 @@
 namespace reachridge {
 namespace {
 
-constexpr auto time_grid = 10 * millisecond;  // what is written down reads back the same
-constexpr auto shortest_cut = 2 * second;
-constexpr auto shortest_run = 5 * second;
+constexpr auto time_grid = 10 * millisecond;  // scenario files state times in hundredths of a second
+constexpr auto minimum_cut = 2 * second;
+constexpr auto minimum_length = 5 * second;
 
-auto broken_rule(const scenario& s, std::uint64_t seed) -> std::string {
-  auto result = run_scenario(s, seed);
+// Returns the first rule that a run violates, or an empty text if the run passes.
+auto first_violated_rule(const scenario& definition, std::uint64_t seed) -> std::string {
+  auto result = run_scenario(definition, seed);
   if (result.violations.empty())
     return {};
   const auto& first = result.violations[0];
   return first.substr(0, first.find(':'));
 }
 
+// Shrinks one scenario in place. Each candidate is kept only if its run violates the same first rule.
 class shrinker {
  public:
-  shrinker(scenario& s, std::uint64_t seed) : scenario_(s), seed_(seed), rule_(broken_rule(s, seed)) {}
+  shrinker(scenario& definition, std::uint64_t seed)
+      : scenario_(definition), seed_(seed), rule_(first_violated_rule(definition, seed)) {}
   [[nodiscard]] auto rule() const -> const std::string& {
     return rule_;
   }
 
-  // Each fault after the new end is dropped with it.
-  auto cut_end() -> void {
-    for (auto cut = scenario_.length / 2; cut >= shortest_cut; cut /= 2) {
-      auto shorter = scenario_;
-      shorter.length = (shorter.length - cut) / time_grid * time_grid;
-      std::erase_if(shorter.faults, [&](const auto& fault) {
-        return fault.earliest >= shorter.length;
+  // Shortens the run as long as the rule stays violated. Faults after the new end are removed.
+  auto shorten_run() -> void {
+    for (auto cut = scenario_.length / 2; cut >= minimum_cut; cut /= 2) {
+      auto candidate = scenario_;
+      candidate.length = (candidate.length - cut) / time_grid * time_grid;
+      std::erase_if(candidate.faults, [&](const auto& fault) {
+        return fault.earliest >= candidate.length;
       });
-      if (shorter.length > shortest_run)
-        keep_if_broken(shorter);
+      if (candidate.length > minimum_length)
+        keep_if_still_violated(candidate);
     }
   }
-  // Leaves out so many faults in a row, wherever that is possible.
-  auto drop_faults(std::size_t count) -> void {
+  // Removes `count` consecutive faults wherever the rule stays violated without them.
+  auto remove_faults(std::size_t count) -> void {
     for (auto first = std::size_t{0}; first < scenario_.faults.size();) {
-      auto fewer = scenario_;
-      auto last = std::min(fewer.faults.size(), first + count);
-      fewer.faults.erase(fewer.faults.begin() + static_cast<std::ptrdiff_t>(first),
-                         fewer.faults.begin() + static_cast<std::ptrdiff_t>(last));
-      if (!keep_if_broken(fewer))
+      auto candidate = scenario_;
+      auto last = std::min(candidate.faults.size(), first + count);
+      candidate.faults.erase(candidate.faults.begin() + static_cast<std::ptrdiff_t>(first),
+                             candidate.faults.begin() + static_cast<std::ptrdiff_t>(last));
+      if (!keep_if_still_violated(candidate))
         first += count;
     }
   }
 
  private:
-  auto keep_if_broken(const scenario& candidate) -> bool {
-    if (broken_rule(candidate, seed_) != rule_)
+  auto keep_if_still_violated(const scenario& candidate) -> bool {
+    if (first_violated_rule(candidate, seed_) != rule_)
       return false;
     scenario_ = candidate;
     return true;
@@ -66,22 +69,24 @@
 
 }  // namespace
 
-auto shrink(scenario s, std::uint64_t seed, const std::function<void(const std::string&)>& report) -> scenario {
-  s.faults = all_faults(s, seed);
-  s.random_fault_interval = 0;
-  s.expected_counts.clear();
-  auto work = shrinker(s, seed);
-  if (work.rule().empty())
+auto shrink(scenario definition, std::uint64_t seed, const std::function<void(const std::string&)>& report)
+    -> scenario {
+  definition.faults = all_faults(definition, seed);
+  definition.random_fault_interval = 0;
+  definition.expected_counts.clear();
+  auto reduction = shrinker(definition, seed);
+  if (reduction.rule().empty())
     throw request_error(errc::nothing_to_shrink,
                         "seed " + std::to_string(seed) + " breaks nothing: there is nothing to shrink");
-  sort_by_time(s.faults);
-  work.cut_end();
-  auto count = std::max<std::size_t>(1, s.faults.size() / 2);
+  sort_by_time(definition.faults);
+  reduction.shorten_run();
+  auto count = std::max<std::size_t>(1, definition.faults.size() / 2);
   while (true) {
-    work.drop_faults(count);
-    report(work.rule() + ": " + std::to_string(s.faults.size()) + " faults in " + format_seconds(s.length) + " s");
+    reduction.remove_faults(count);
+    report(reduction.rule() + ": " + std::to_string(definition.faults.size()) + " faults in " +
+           format_seconds(definition.length) + " s");
     if (count <= 1)
-      return s;
+      return definition;
     count /= 2;
   }
 }
--- a/tools/simulator/scenario_shrink.hpp
+++ b/tools/simulator/scenario_shrink.hpp
@@ -1,4 +1,4 @@
-// Cuts a failing run down to the least that still breaks the same rule.
+// Reduces a failing scenario to a small one that still violates the same rule.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -8,8 +8,8 @@
 
 namespace reachridge {
 
-// Fewer faults and an earlier end with the same first rule broken. `report` is told each step. Throws request_error
-// `nothing_to_shrink` if the seed passes.
-auto shrink(scenario s, std::uint64_t seed, const std::function<void(const std::string&)>& report) -> scenario;
+// Returns the scenario with fewer faults and an earlier end that violates the same first rule. Calls `report` with a
+// text after each round. Throws request_error `nothing_to_shrink` if the run with the seed passes.
+auto shrink(scenario definition, std::uint64_t seed, const std::function<void(const std::string&)>& report) -> scenario;
 
 }  // namespace reachridge
