--- a/tools/simulator/durability_audit.cpp
+++ b/tools/simulator/durability_audit.cpp
@@ -52,8 +52,8 @@
       // nothing yet.
       if (index_on_disk >= durable_index || durable_index <= get_int(replica, "root"))
         continue;
-      return name + " counts " + partition + " as synced up to " + std::to_string(durable_index) +
-             ", its disk holds it up to " + std::to_string(index_on_disk);
+      return name + " counts " + partition + " as durable up to index " + std::to_string(durable_index) +
+             ", but its disk holds the partition up to index " + std::to_string(index_on_disk);
     }
   }
   return {};
--- a/tools/simulator/fault_injector.cpp
+++ b/tools/simulator/fault_injector.cpp
@@ -422,7 +422,8 @@
 auto fault_injector::retire_and_lose_disk(const scheduled_fault& fault) -> void {
   const auto& moment = fault.args[1];
   if (moment != "accepted" && moment != "completed")
-    throw request_error(errc::invalid_scenario, "'" + moment + "' is no moment of a retirement: accepted or completed");
+    throw request_error(errc::invalid_scenario,
+                        "'" + moment + "' is not a moment of a retirement: expected 'accepted' or 'completed'");
   for (const auto& node : selected_nodes(fault.args[0])) {
     auto lose_another = [this, node] {
       lose_another_disk(node);
--- a/tools/simulator/operator_orders.cpp
+++ b/tools/simulator/operator_orders.cpp
@@ -86,7 +86,7 @@
       return;
     ++counts_["late_in_force"];
     log(log_level::warning, "scenario",
-        outdated_gateway + " may serve by an older configuration than " + std::to_string(number));
+        outdated_gateway + " may still apply a configuration older than " + std::to_string(number));
   });
 }
 
@@ -147,7 +147,8 @@
   auto kind = order.substr(0, colon);
   auto node = colon == std::string::npos ? std::string() : order.substr(colon + 1);
   if (kind != "retire" && kind != "drain")
-    throw request_error(errc::invalid_scenario, "'" + order + "' is no order");
+    throw request_error(errc::invalid_scenario,
+                        "'" + order + "' is not an order: expected read, configure, drain:NODE or retire:NODE");
   fleet_.operate([this, address, kind, node](operator_client& client) -> task<void> {
     auto answer = co_await client.leave_once(address, node, kind);
     ++counts_["order_" + answer];
--- a/tools/simulator/scenario.cpp
+++ b/tools/simulator/scenario.cpp
@@ -36,11 +36,12 @@
 };
 constexpr auto forbidden_counts = std::to_array<forbidden_count>({
     {"thin_configuration", "accepted: a configuration was acknowledged while fewer than two disks held it"},
-    {"held_early", "held: a configuration was reported in force while a gateway could serve by an older one"},
-    {"late_in_force", "in force: an acknowledged configuration was not in force everywhere within a lease"},
-    {"last_change_lost", "in force: the last of many changes was refused"},
-    {"stale_taken", "a stale configuration was taken"},
-    {"bad_taken", "an invalid configuration was taken"},
+    {"held_early", "held: a configuration was reported as in force while a gateway could still apply an older one"},
+    {"late_in_force",
+     "in force: an acknowledged configuration was not in force on all gateways within the lease duration"},
+    {"last_change_lost", "in force: the last of several configuration changes was refused"},
+    {"stale_taken", "a stale configuration was accepted"},
+    {"bad_taken", "an invalid configuration was accepted"},
 });
 
 constexpr auto displayed_counts =
@@ -102,7 +103,8 @@
 
 auto scenario_run::run() -> run_result {
   if (!fleet_.begin()) {
-    result_.violations.push_back("the fleet did not begin");
+    result_.violations.push_back(
+        "the fleet did not start: the first configuration did not come into force within 60 s");
     return result_;
   }
   started_at_ = next_audit_ = now();
@@ -291,7 +293,7 @@
     auto seen = counts_[name];
     if (is_minimum ? seen >= bound : seen <= bound)
       continue;
-    result_.violations.push_back("wanted " + std::string(is_minimum ? "at least " : "at most ") +
+    result_.violations.push_back("expected " + std::string(is_minimum ? "at least " : "at most ") +
                                  std::to_string(bound) + " of " + name + ", saw " + std::to_string(seen));
   }
 }
--- a/tools/simulator/scenario_reader.cpp
+++ b/tools/simulator/scenario_reader.cpp
@@ -46,10 +46,10 @@
 
 auto read_day(scenario& definition, const word_list& line) -> void {
   if (line[1] != "hovorna" && line[1] != "podnebni")
-    throw invalid("'" + line[1] + "' is no shape of a day: hovorna or podnebni");
+    throw invalid("'" + line[1] + "' is not a shape of a day: expected 'hovorna' or 'podnebni'");
   auto scale = parse_number(line[2]);
   if (scale < 1 || scale > 100)
-    throw invalid("a day is scaled down by 1 to 100, not " + line[2]);
+    throw invalid("a day is scaled down by 1 to 100, but the scale is " + line[2]);
   set_day_shape(definition, line[1], static_cast<std::int64_t>(scale));
 }
 
@@ -58,28 +58,28 @@
   definition.random_faults_from = parse_seconds(line[2]);
   definition.random_faults_until = parse_seconds(line[3]);
   if (definition.random_fault_interval < second || definition.random_fault_interval > 600 * second)
-    throw invalid("random faults come each 1 to 600 s, not " + line[1]);
+    throw invalid("the interval of random faults must be 1 to 600 s, but is " + line[1]);
   if (definition.random_faults_until <= definition.random_faults_from)
-    throw invalid("random faults end before they begin");
+    throw invalid("the end of random faults is not after their start");
 }
 
 auto read_excluded_faults(scenario& definition, const word_list& line) -> void {
   for (auto i = std::size_t{1}; i < line.size(); ++i) {
     if (!is_random_fault(line[i]))
-      throw invalid("'" + line[i] + "' is no random fault");
+      throw invalid("'" + line[i] + "' is not a random fault");
     definition.excluded_faults.insert(line[i]);
   }
 }
 
 auto read_disk(scenario& definition, const word_list& line) -> void {
   if (line[1] != "holds" && line[1] != "aside")
-    throw invalid("a disk 'holds' its process or works 'aside'");
+    throw invalid("disk must be 'holds' (a sync blocks the process) or 'aside'");
   definition.shape.sync_blocks_process = line[1] == "holds";
 }
 
 auto read_closing(scenario& definition, const word_list& line) -> void {
   if (line[1] != "yes" && line[1] != "no")
-    throw invalid("closing is yes or no");
+    throw invalid("closing must be 'yes' or 'no'");
   definition.closing_power_loss = line[1] == "yes";
 }
 
@@ -190,10 +190,10 @@
 auto read_line(scenario& definition, const word_list& line) -> void {
   auto found = scenario_lines().find(line[0]);
   if (found == scenario_lines().end())
-    throw invalid("'" + line[0] + "' is no word of a scenario");
+    throw invalid("'" + line[0] + "' is not a word of a scenario file");
   const auto& [arguments, read] = found->second;
   if (arguments != any_number_of_arguments && line.size() != arguments + 1)
-    throw invalid("'" + line[0] + "' wants " + std::to_string(arguments) + " words after it");
+    throw invalid("'" + line[0] + "' takes " + std::to_string(arguments) + " arguments");
   read(definition, line);
 }
 
@@ -202,37 +202,37 @@
   auto range_separator = text.find("..");
   auto step_separator = text.find('+');
   if (step_separator != std::string::npos && range_separator != std::string::npos)
-    throw invalid("'" + text + "' is either drawn between two times or moves with the seed");
+    throw invalid("'" + text + "' combines a range of times with a step per seed");
   fault.earliest = parse_seconds(text.substr(0, std::min(range_separator, step_separator)));
   if (step_separator != std::string::npos)
     fault.sweep_step = parse_seconds(text.substr(step_separator + 1));
   fault.latest =
       range_separator == std::string::npos ? fault.earliest : parse_seconds(text.substr(range_separator + 2));
   if (fault.latest < fault.earliest)
-    throw invalid("'" + text + "' ends before it begins");
+    throw invalid("'" + text + "' is a range whose end is before its start");
 }
 
 auto read_scheduled_fault(const word_list& line, int line_number) -> scheduled_fault {
   constexpr auto first_argument = std::size_t{3};
   if (line.size() < first_argument)
-    throw invalid("'at' wants a time and a command");
+    throw invalid("'at' needs a time and a command");
   auto fault = scheduled_fault();
   fault.line = line_number;
   read_fault_time(fault, line[1]);
   fault.verb = line[2];
   auto argument_count = fault_arguments(fault.verb);
   if (!argument_count)
-    throw invalid("'" + fault.verb + "' is no command");
+    throw invalid("'" + fault.verb + "' is not a command");
   auto word_index = first_argument;
   for (; word_index < line.size() && line[word_index] != "for"; ++word_index)
     fault.args.push_back(line[word_index]);
   if (word_index < line.size()) {
     if (word_index + 2 != line.size())
-      throw invalid("'for' wants one number at the end");
+      throw invalid("'for' needs exactly one number at the end of the line");
     fault.duration = parse_seconds(line[word_index + 1]);
   }
   if (fault.args.size() != *argument_count)
-    throw invalid("'" + fault.verb + "' wants " + std::to_string(*argument_count) + " words, has " +
+    throw invalid("'" + fault.verb + "' takes " + std::to_string(*argument_count) + " arguments, but has " +
                   std::to_string(fault.args.size()));
   return fault;
 }
@@ -263,7 +263,7 @@
     end = 0;
   }
   if (end != text.size() || text.empty())
-    throw invalid("'" + text + "' is no number");
+    throw invalid("'" + text + "' is not a number");
   return number;
 }
 
@@ -283,7 +283,7 @@
   auto definition = scenario();
   auto input = std::ifstream(file);
   if (!input)
-    throw invalid("cannot be read");
+    throw invalid("the scenario file cannot be read");
   definition.name = file.substr(file.rfind('/') + 1);
   definition.name = definition.name.substr(0, definition.name.rfind('.'));
   auto line_number = 0;
--- a/tools/simulator/scenario_shrink.cpp
+++ b/tools/simulator/scenario_shrink.cpp
@@ -77,7 +77,7 @@
   auto reduction = shrinker(definition, seed);
   if (reduction.rule().empty())
     throw request_error(errc::nothing_to_shrink,
-                        "seed " + std::to_string(seed) + " breaks nothing: there is nothing to shrink");
+                        "seed " + std::to_string(seed) + " breaks nothing: a run that passes cannot be shrunk");
   sort_by_time(definition.faults);
   reduction.shorten_run();
   auto count = std::max<std::size_t>(1, definition.faults.size() / 2);
