--- a/tools/simulator/heap.cpp
+++ b/tools/simulator/heap.cpp
@@ -1,4 +1,4 @@
-// The counting operator new: each block begins with its size and the account it is charged to.
+// Replaces operator new by a counting one. A header before each block holds the size and the charged account.
 #include "simulator/heap.hpp"
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 
 namespace {
 
-struct alignas(std::max_align_t) header {
+struct alignas(std::max_align_t) block_header {
   std::int64_t size;
   std::int64_t* account;
 };
@@ -15,48 +15,49 @@
 
 }  // namespace
 
-// All forms but the aligned ones, which pair among themselves: a library may take one and free by another.
-auto operator new(std::size_t n, const std::nothrow_t&) noexcept -> void* {
-  auto* h = static_cast<header*>(std::malloc(n + sizeof(header)));
-  if (!h)
+// Replaces all forms except the aligned ones, because a library may allocate with one form and free with another. The
+// aligned forms are only paired with each other.
+auto operator new(std::size_t size, const std::nothrow_t&) noexcept -> void* {
+  auto* header = static_cast<block_header*>(std::malloc(size + sizeof(block_header)));
+  if (!header)
     return nullptr;
-  h->size = static_cast<std::int64_t>(n);
-  h->account = reachridge::heap_account;
-  if (h->account)
-    *h->account += h->size;
-  return h + 1;
-}
-auto operator new(std::size_t n) -> void* {
-  if (auto* p = operator new(n, std::nothrow))
-    return p;
+  header->size = static_cast<std::int64_t>(size);
+  header->account = reachridge::heap_account;
+  if (header->account)
+    *header->account += header->size;
+  return header + 1;
+}
+auto operator new(std::size_t size) -> void* {
+  if (auto* block = operator new(size, std::nothrow))
+    return block;
   throw std::bad_alloc();
 }
-auto operator new[](std::size_t n) -> void* {
-  return operator new(n);
+auto operator new[](std::size_t size) -> void* {
+  return operator new(size);
 }
-auto operator new[](std::size_t n, const std::nothrow_t& t) noexcept -> void* {
-  return operator new(n, t);
+auto operator new[](std::size_t size, const std::nothrow_t& tag) noexcept -> void* {
+  return operator new(size, tag);
 }
-auto operator delete(void* p) noexcept -> void {
-  if (!p)
+auto operator delete(void* block) noexcept -> void {
+  if (!block)
     return;
-  auto* h = static_cast<header*>(p) - 1;
-  if (h->account)
-    *h->account -= h->size;
-  std::free(h);
+  auto* header = static_cast<block_header*>(block) - 1;
+  if (header->account)
+    *header->account -= header->size;
+  std::free(header);
 }
-auto operator delete(void* p, std::size_t) noexcept -> void {
-  operator delete(p);
+auto operator delete(void* block, std::size_t) noexcept -> void {
+  operator delete(block);
 }
-auto operator delete(void* p, const std::nothrow_t&) noexcept -> void {
-  operator delete(p);
+auto operator delete(void* block, const std::nothrow_t&) noexcept -> void {
+  operator delete(block);
 }
-auto operator delete[](void* p) noexcept -> void {
-  operator delete(p);
+auto operator delete[](void* block) noexcept -> void {
+  operator delete(block);
 }
-auto operator delete[](void* p, std::size_t) noexcept -> void {
-  operator delete(p);
+auto operator delete[](void* block, std::size_t) noexcept -> void {
+  operator delete(block);
 }
-auto operator delete[](void* p, const std::nothrow_t&) noexcept -> void {
-  operator delete(p);
+auto operator delete[](void* block, const std::nothrow_t&) noexcept -> void {
+  operator delete(block);
 }
--- a/tools/simulator/log_model.cpp
+++ b/tools/simulator/log_model.cpp
@@ -16,23 +16,24 @@
 namespace reachridge {
 namespace {
 
-constexpr auto lease = model_silence * 3 / 2;        // in the proportion of the product's defaults
-constexpr auto served_for = model_silence * 9 / 32;  // after a majority's last confirmation
-// An older leader's configuration may be served so long after a newer one was acknowledged.
-constexpr auto served_bound = lease / 4 + model_silence * 3 / 8;
-constexpr auto founding_limit = 3 * second;
-constexpr auto recovery_limit = model_silence * 20;
-constexpr auto hand_over_limit = model_silence / 2;
-constexpr auto small_bounds = log_limits{8, 4, 64, 48};
+constexpr auto lease = model_failure_timeout * 3 / 2;  // the same ratio as the defaults of the product
+constexpr auto serving_window =
+    model_failure_timeout * 9 / 32;  // time that a leader may serve after its last quorum contact
+// An old leader may serve its state for this long after a newer command was acknowledged.
+constexpr auto stale_serving_limit = lease / 4 + model_failure_timeout * 3 / 8;
+constexpr auto bootstrap_limit = 3 * second;
+constexpr auto recovery_limit = model_failure_timeout * 20;
+constexpr auto leadership_transfer_limit = model_failure_timeout / 2;
+constexpr auto small_limits = log_limits{8, 4, 64, 48};
 constexpr auto spare_machines = std::size_t{3};
-constexpr auto quick_sync = 2 * millisecond;
-constexpr auto slow_sync = 60 * millisecond;
-constexpr auto progress_check_every = std::uint64_t{5};
+constexpr auto fast_sync_cost = 2 * millisecond;
+constexpr auto slow_sync_cost = 60 * millisecond;
+constexpr auto progress_check_interval = std::uint64_t{5};
 constexpr auto trace_lines_shown = std::size_t{60};
 
-// A state machine that remembers its history in one number.
+// A state machine whose state is a digest of all applied commands.
 struct history_digest {
-  std::int64_t index = 0;  // of the newest command
+  std::int64_t index = 0;  // index of the newest command
   std::uint64_t digest = 0;
 
   auto apply(std::int64_t at, std::int64_t command) -> void {
@@ -41,22 +42,22 @@
   }
 };
 
-// A machine and the process on it, which may be down.
+// A machine and its process. `log` is null while the process is down.
 struct replica {
   std::string name;
-  machine* box = nullptr;
+  machine* own_machine = nullptr;
   reachridge::settings settings;
-  bool used = false;          // has been started once
-  bool removed = false;       // gone for good, with its disk
-  std::uint64_t process = 0;  // counts its starts
+  bool used = false;          // the process was started at least once
+  bool removed = false;       // the machine is permanently removed together with its disk
+  std::uint64_t process = 0;  // number of process starts
   std::unique_ptr<message_host> host;
   std::unique_ptr<history_digest> state;
   std::unique_ptr<consensus> log;
   std::unique_ptr<task_group> tasks;
-  std::int64_t leads_term = 0;  // the term of its last leadership
-  bool crash_at_vote = false, crash_at_append = false;
-  monotonic_time stays_down = 0;  // of an armed crash
-  std::string seen_meta, seen_snapshot;
+  std::int64_t leads_term = 0;                          // the last term in which the replica was leader
+  bool crash_at_vote = false, crash_at_append = false;  // pending crashes: after the next vote, after the next append
+  monotonic_time downtime = 0;                          // how long the process stays down after a pending crash
+  std::string seen_meta, seen_snapshot;                 // disk contents and state at the last check
   std::uint64_t seen_writes = 0;
   std::int64_t seen_commit = 0;
 
@@ -68,19 +69,21 @@
   }
 };
 
+// Returns the index of a log entry from its key on disk, "L/e/" and 16 hexadecimal digits.
 auto entry_index(const std::string& key) -> std::int64_t {
   return static_cast<std::int64_t>(std::stoull(key.substr(4), nullptr, 16));
 }
 
+// One run of the model checker: the machines, the faults and the checks.
 class model {
  public:
   model(std::uint64_t seed, const model_options& options)
       : options_(options),
         source_(seed),
         schedule_(source_.draw()),
-        world_(seed + 1),
-        network_(world_, seed + 2),
-        dice_(seed + 3) {
+        simulation_(seed + 1),
+        network_(simulation_, seed + 2),
+        random_engine_(seed + 3) {
     run_.seed = seed;
     auto seeds = std::vector<std::string>();
     for (auto i = std::size_t{0}; i < schedule_.voters + spare_machines; ++i) {
@@ -88,629 +91,635 @@
       if (i < schedule_.voters)
         seeds.push_back(replicas_.back()->settings.address);
     }
-    for (auto& one : replicas_)
-      one->settings.seeds = seeds;
+    for (auto& node : replicas_)
+      node->settings.seeds = seeds;
   }
   model(const model&) = delete;
   auto operator=(const model&) -> model& = delete;
   ~model() {
-    for (auto& one : replicas_)
-      end_process(*one);
+    for (auto& node : replicas_)
+      destroy_process(*node);
   }
 
-  auto play() -> model_run {
-    found();
-    if (!broken())
-      play_faults();
-    if (!broken())
+  auto execute() -> model_run {
+    bootstrap();
+    if (!has_violation())
+      inject_faults();
+    if (!has_violation())
       end_faults();
-    if (!broken())
+    if (!has_violation())
       check_recovery();
     run_.membership_changes = invariants_.membership_changes();
     return std::move(run_);
   }
 
  private:
-  [[nodiscard]] auto broken() const -> bool {
+  [[nodiscard]] auto has_violation() const -> bool {
     return !run_.violations.empty();
   }
 
-  // Runs a check; what it throws is this run's violation and ends it.
-  auto check(const std::function<void()>& what) -> void {
-    if (broken())
+  // Runs a check. An invariant_violation that the check throws is recorded and ends the run.
+  auto check(const std::function<void()>& verify) -> void {
+    if (has_violation())
       return;
     try {
-      what();
-    } catch (const invariant_broken& fault) {
-      run_.violations.push_back({fault.invariant, fault.detail, world_.clock / millisecond});
-      note("VIOLATION " + fault.invariant + ": " + fault.detail);
-      world_.stopped = true;
+      verify();
+    } catch (const invariant_violation& violation) {
+      run_.violations.push_back({violation.invariant, violation.detail, simulation_.clock / millisecond});
+      add_trace("VIOLATION " + violation.invariant + ": " + violation.detail);
+      simulation_.stopped = true;
     }
   }
   auto fail(const char* invariant, const std::string& detail) -> void {
-    for (const auto& one : replicas_)
-      if (one->up())
-        note(one->name + ": " + to_json(one->log->status()));
+    for (const auto& node : replicas_)
+      if (node->up())
+        add_trace(node->name + ": " + to_json(node->log->status()));
     check([&] {
-      throw invariant_broken{invariant, detail};
+      throw invariant_violation{invariant, detail};
     });
   }
-  auto note(const std::string& line) -> void {
+  auto add_trace(const std::string& line) -> void {
     if (options_.trace)
-      run_.trace.push_back(std::to_string(world_.clock / millisecond) + " ms  " + line);
+      run_.trace.push_back(std::to_string(simulation_.clock / millisecond) + " ms  " + line);
   }
 
   auto add_machine(std::size_t number) -> void {
-    auto one = std::make_unique<replica>();
-    one->name = "r" + std::to_string(number);
-    one->box = &world_.machine_at(one->name, "z" + std::to_string(number));
-    one->box->sync_cost = quick_sync;
-    auto& set = one->settings;
-    set.name = one->name;
-    set.address = one->box->ip + ":9000";
-    set.heartbeat_interval = model_heartbeat;
-    set.failure_timeout = model_silence;
-    set.lease_duration = lease;
-    set.request_timeout = model_silence;
-    replicas_.push_back(std::move(one));
+    auto node = std::make_unique<replica>();
+    node->name = "r" + std::to_string(number);
+    node->own_machine = &simulation_.machine_at(node->name, "z" + std::to_string(number));
+    node->own_machine->sync_cost = fast_sync_cost;
+    auto& node_settings = node->settings;
+    node_settings.name = node->name;
+    node_settings.address = node->own_machine->ip + ":9000";
+    node_settings.heartbeat_interval = model_heartbeat;
+    node_settings.failure_timeout = model_failure_timeout;
+    node_settings.lease_duration = lease;
+    node_settings.request_timeout = model_failure_timeout;
+    replicas_.push_back(std::move(node));
   }
 
-  auto start(replica& one) -> void {
-    if (one.removed || one.up())
+  auto start(replica& node) -> void {
+    if (node.removed || node.up())
       return;
-    one.used = true;
-    one.box->powered = true;
-    ++one.process;
-    one.host = std::make_unique<message_host>(network_, *one.box, dice_());
-    one.state = std::make_unique<history_digest>();
+    node.used = true;
+    node.own_machine->powered = true;
+    ++node.process;
+    node.host = std::make_unique<message_host>(network_, *node.own_machine, random_engine_());
+    node.state = std::make_unique<history_digest>();
     try {
-      one.log = std::make_unique<consensus>(*one.host, one.settings, rules_for(one));
+      node.log = std::make_unique<consensus>(*node.host, node.settings, state_machine_for(node));
     } catch (const std::exception& error) {
-      return fail("starts-again", one.name + " does not start from its disk: " + error.what());
+      return fail("starts-again", node.name + " does not start from its disk: " + error.what());
     }
-    one.tasks = std::make_unique<task_group>(*one.host);
+    node.tasks = std::make_unique<task_group>(*node.host);
     auto handler = rpc_handlers();
-    handler.on_call = [this, &one](connection_ptr, value request) {
-      return answer(one, std::move(request));
+    handler.on_call = [this, &node](connection_ptr, value request) {
+      return handle_call(node, std::move(request));
     };
-    one.tasks->spawn(serve(*one.host, *one.tasks, one.host->listen(one.settings.address), handler, one.name));
-    note(one.name + " starts, disk " + one.log->disk_id().substr(0, 4));
-  }
-  auto end_process(replica& one) -> void {
-    one.tasks.reset();
-    one.log.reset();
-    one.state.reset();
-    one.host.reset();
-    one.seen_writes = 0;
-    one.crash_at_vote = one.crash_at_append = false;
-  }
-  auto stop(replica& one, const char* why) -> void {
-    if (!one.up())
+    node.tasks->spawn(serve(*node.host, *node.tasks, node.host->listen(node.settings.address), handler, node.name));
+    add_trace(node.name + " starts, disk " + node.log->disk_id().substr(0, 4));
+  }
+  auto destroy_process(replica& node) -> void {
+    node.tasks.reset();
+    node.log.reset();
+    node.state.reset();
+    node.host.reset();
+    node.seen_writes = 0;
+    node.crash_at_vote = node.crash_at_append = false;
+  }
+  auto stop(replica& node, const char* why) -> void {
+    if (!node.up())
       return;
     check([&] {
-      check_disk(one);
+      check_disk(node);
     });
-    note(one.name + " " + why);
-    end_process(one);
+    add_trace(node.name + " " + why);
+    destroy_process(node);
   }
-  auto start_later(replica& one, monotonic_time wait) -> void {
-    world_.schedule(world_.clock + wait, [this, &one] {
-      if (!broken())
-        start(one);
+  auto start_later(replica& node, monotonic_time delay) -> void {
+    simulation_.schedule(simulation_.clock + delay, [this, &node] {
+      if (!has_violation())
+        start(node);
     });
   }
 
-  auto rules_for(replica& one) -> consensus::state_machine {
-    auto out = consensus::state_machine();
-    out.apply = [this, &one](std::int64_t index, const value& command) {
-      return apply(one, index, command);
+  auto state_machine_for(replica& node) -> consensus::state_machine {
+    auto state_machine = consensus::state_machine();
+    state_machine.apply = [this, &node](std::int64_t index, const value& command) {
+      return apply(node, index, command);
     };
-    out.take_snapshot = [&one] {
-      return value(object{{"index", one.state->index}, {"digest", std::to_string(one.state->digest)}});
+    state_machine.take_snapshot = [&node] {
+      return value(object{{"index", node.state->index}, {"digest", std::to_string(node.state->digest)}});
     };
-    out.restore = [this, &one](const value& snapshot) {
-      restore(one, snapshot);
+    state_machine.restore = [this, &node](const value& snapshot) {
+      restore(node, snapshot);
     };
-    out.leader_changed = [this, &one] {
-      leader_changed(one);
+    state_machine.leader_changed = [this, &node] {
+      leader_changed(node);
     };
-    out.limits = small_bounds;
-    return out;
+    state_machine.limits = small_limits;
+    return state_machine;
   }
-  auto apply(replica& one, std::int64_t index, const value& command) -> value {
+  auto apply(replica& node, std::int64_t index, const value& command) -> value {
     auto number = get_int(command, "command");
-    one.state->apply(index, number);
+    node.state->apply(index, number);
     check([&] {
-      invariants_.applied(index, number, one.state->digest);
+      invariants_.applied(index, number, node.state->digest);
     });
     return object{{"index", index}};
   }
-  auto restore(replica& one, const value& snapshot) -> void {
+  auto restore(replica& node, const value& snapshot) -> void {
     ++run_.snapshots;
     auto index = get_int(snapshot, "index");
     check([&] {
-      if (index < one.state->index)
-        throw invariant_broken{"committed-stays", one.name + " goes back to a snapshot of " + std::to_string(index)};
+      if (index < node.state->index)
+        throw invariant_violation{"committed-stays",
+                                  node.name + " goes back to a snapshot of " + std::to_string(index)};
     });
-    one.state->index = index;
-    one.state->digest = std::stoull(get_string(snapshot, "digest"));
+    node.state->index = index;
+    node.state->digest = std::stoull(get_string(snapshot, "digest"));
     if (index > 0)
       check([&] {
-        invariants_.restored(index, one.state->digest);
+        invariants_.restored(index, node.state->digest);
       });
-    note(one.name + " restores a snapshot, newest command at " + std::to_string(index));
+    add_trace(node.name + " restores a snapshot, newest command at " + std::to_string(index));
   }
-  auto leader_changed(replica& one) -> void {
-    if (!one.leads())
+  auto leader_changed(replica& node) -> void {
+    if (!node.leads())
       return;
-    auto term = get_int(one.log->status(), "term");
-    if (term != one.leads_term) {
-      one.leads_term = term;
+    auto term = get_int(node.log->status(), "term");
+    if (term != node.leads_term) {
+      node.leads_term = term;
       ++run_.elections;
-      note(one.name + " leads term " + std::to_string(term));
+      add_trace(node.name + " leads term " + std::to_string(term));
     }
     check([&] {
-      invariants_.leads(one.log->disk_id(), term);
+      invariants_.leader_seen(node.log->disk_id(), term);
     });
-    if (one.log->leadership_established())
+    if (node.log->leadership_established())
       check([&] {
-        invariants_.must_hold("leader-complete", one.state->index, world_.clock, one.name);
+        invariants_.require_applied("leader-complete", node.state->index, simulation_.clock, node.name);
       });
   }
 
-  auto answer(replica& one, value request) -> task<value> {
+  auto handle_call(replica& node, value request) -> task<value> {
     auto op = get_string_or(request, "op");
-    auto votes = op == "l.vote" && !get_bool(request, "dry");
-    auto term = votes ? get_int(request, "term") : 0;
-    auto candidate = votes ? get_string(request, "from") : std::string();
-    auto reply = co_await one.log->handle_request(op, std::move(request));
-    if (votes && get_bool(reply, "ok") && get_int(reply, "term") == term) {
+    auto is_vote = op == "l.vote" && !get_bool(request, "dry");
+    auto term = is_vote ? get_int(request, "term") : 0;
+    auto candidate = is_vote ? get_string(request, "from") : std::string();
+    auto reply = co_await node.log->handle_request(op, std::move(request));
+    if (is_vote && get_bool(reply, "ok") && get_int(reply, "term") == term) {
       check([&] {
         invariants_.vote_granted(get_string(reply, "id"), term, candidate);
       });
-      note(one.name + " votes in term " + std::to_string(term) + " for " + name_at(candidate));
-      if (one.crash_at_vote)
-        crash_now(one);
+      add_trace(node.name + " votes in term " + std::to_string(term) + " for " + name_of_address(candidate));
+      if (node.crash_at_vote)
+        crash_now(node);
     }
-    if (op == "l.append" && get_bool(reply, "ok") && one.crash_at_append)
-      crash_now(one);
+    if (op == "l.append" && get_bool(reply, "ok") && node.crash_at_append)
+      crash_now(node);
     co_return reply;
   }
-  // From outside of the process's own tasks: its answer is on the way by then.
-  auto crash_now(replica& one) -> void {
-    one.crash_at_vote = one.crash_at_append = false;
-    auto process = one.process;
-    world_.schedule(world_.clock + 1, [this, &one, process] {
-      if (one.process != process)
+  // Crashes the process from the event loop, after its pending reply has been sent.
+  auto crash_now(replica& node) -> void {
+    node.crash_at_vote = node.crash_at_append = false;
+    auto process = node.process;
+    simulation_.schedule(simulation_.clock + 1, [this, &node, process] {
+      if (node.process != process)
         return;
-      stop(one, "crashes");
-      start_later(one, one.stays_down);
+      stop(node, "crashes");
+      start_later(node, node.downtime);
     });
   }
-  [[nodiscard]] auto name_at(const std::string& address) const -> std::string {
-    const auto* one = replica_at(address);
-    return one ? one->name : address;
+  [[nodiscard]] auto name_of_address(const std::string& address) const -> std::string {
+    const auto* node = replica_at(address);
+    return node ? node->name : address;
   }
 
   auto run_until(monotonic_time end) -> void {
     constexpr auto check_gap = 10 * millisecond;
-    while (!broken() && world_.clock < end) {
-      if (world_.clock >= next_command_)
+    while (!has_violation() && simulation_.clock < end) {
+      if (simulation_.clock >= next_command_)
         send_commands();
-      auto next = std::min({end, world_.clock + check_gap, std::max(next_command_, world_.clock + 1)});
-      world_.run(next);
+      auto next = std::min({end, simulation_.clock + check_gap, std::max(next_command_, simulation_.clock + 1)});
+      simulation_.run(next);
       check([&] {
         check_all();
       });
     }
   }
   auto send_commands() -> void {
-    next_command_ = world_.clock + schedule_.command_gap;
-    for (auto& one : replicas_) {
-      if (!one->leads())
+    next_command_ = simulation_.clock + schedule_.command_gap;
+    for (auto& node : replicas_) {
+      if (!node->leads())
         continue;
-      one->tasks->spawn(propose(*one, ++commands_));
+      node->tasks->spawn(propose(*node, ++commands_));
       if (commands_ % 2 == 0)
-        one->tasks->spawn(read_fresh(*one));
+        node->tasks->spawn(read_fresh(*node));
     }
   }
-  auto propose(replica& one, std::int64_t command) -> task<void> {
-    auto sent = world_.clock;
+  auto propose(replica& node, std::int64_t command) -> task<void> {
+    auto sent_at = simulation_.clock;
     try {
-      auto deed = value(object{{"command", command}});
-      auto result = co_await one.log->propose(std::move(deed), world_.clock + model_silence);
+      auto command_value = value(object{{"command", command}});
+      auto result = co_await node.log->propose(std::move(command_value), simulation_.clock + model_failure_timeout);
       auto index = get_int(result, "index");
       check([&] {
-        invariants_.acknowledged(index, command, world_.clock);
+        invariants_.acknowledged(index, command, simulation_.clock);
       });
       ++run_.acknowledged;
-      newest_acknowledged_send_ = std::max(newest_acknowledged_send_, sent);
-      note(one.name + " acknowledges command " + std::to_string(command) + " at " + std::to_string(index));
+      newest_acknowledged_send_ = std::max(newest_acknowledged_send_, sent_at);
+      add_trace(node.name + " acknowledges command " + std::to_string(command) + " at " + std::to_string(index));
     } catch (const request_error& error) {
       if (error.outcome == execution_outcome::not_executed)
         invariants_.refused(command);
     }
   }
-  auto read_fresh(replica& one) -> task<void> {
-    auto asked = world_.clock;
+  auto read_fresh(replica& node) -> task<void> {
+    auto requested_at = simulation_.clock;
     try {
-      co_await one.log->read_barrier(world_.clock + model_silence);
+      co_await node.log->read_barrier(simulation_.clock + model_failure_timeout);
       check([&] {
-        invariants_.must_hold("fresh-read", one.state->index, asked, one.name);
+        invariants_.require_applied("fresh-read", node.state->index, requested_at, node.name);
       });
     } catch (const request_error&) {
     }
   }
 
   auto check_all() -> void {
-    for (auto& one : replicas_)
-      if (one->up())
-        check_disk(*one);
-    for (auto& one : replicas_) {
-      if (!one->leads())
+    for (auto& node : replicas_)
+      if (node->up())
+        check_disk(*node);
+    for (auto& node : replicas_) {
+      if (!node->leads())
         continue;
-      if (one->leads_term == invariants_.newest_term())
-        invariants_.active_voters(one->log->members(), one->name);
-      if (++checks_ % progress_check_every == 0)
-        check_progress(*one);
-      auto serves = one->log->leadership_established() && world_.clock < one->log->last_quorum_contact() + served_for &&
-                    !one->host->frozen;
-      if (serves)
-        invariants_.must_hold("served-within-bound", one->state->index, world_.clock - served_bound, one->name);
+      if (node->leads_term == invariants_.newest_term())
+        invariants_.check_active_voters(node->log->members(), node->name);
+      if (++checks_ % progress_check_interval == 0)
+        check_progress(*node);
+      auto may_serve = node->log->leadership_established() &&
+                       simulation_.clock < node->log->last_quorum_contact() + serving_window && !node->host->frozen;
+      if (may_serve)
+        invariants_.require_applied("served-within-bound", node->state->index, simulation_.clock - stale_serving_limit,
+                                    node->name);
     }
   }
-  // What the newest leader counts as synced by a disk, that disk holds.
+  // Requires that each disk holds every entry that the newest leader counts as durable on that disk.
   auto check_progress(const replica& leader) -> void {
     if (leader.leads_term != invariants_.newest_term())
       return;
     auto status = leader.log->status();
-    for (const auto& seat : get_array(status, "voters")) {
-      auto match = get_int(status, "last") - get_int(seat, "behind");
-      const auto* one = replica_at(get_string(seat, "addr"));
-      if (!one || !disk_stands({get_string(seat, "addr"), get_string(seat, "id")}, nullptr) || holds(*one, match))
+    for (const auto& member : get_array(status, "voters")) {
+      auto match = get_int(status, "last") - get_int(member, "behind");
+      const auto* node = replica_at(get_string(member, "addr"));
+      if (!node || !disk_is_intact({get_string(member, "addr"), get_string(member, "id")}, nullptr) ||
+          has_entry(*node, match))
         continue;
-      throw invariant_broken{"counted-is-synced", leader.name + " counts entry " + std::to_string(match) + " on " +
-                                                      one->name + "/" + get_string(seat, "id").substr(0, 4) +
-                                                      ", which lacks it"};
+      throw invariant_violation{"counted-is-synced", leader.name + " counts entry " + std::to_string(match) + " on " +
+                                                         node->name + "/" + get_string(member, "id").substr(0, 4) +
+                                                         ", which lacks it"};
     }
   }
-  [[nodiscard]] auto holds(const replica& one, std::int64_t index) const -> bool {
+  [[nodiscard]] auto has_entry(const replica& node, std::int64_t index) const -> bool {
     constexpr auto key_size = std::size_t{32};
     char key[key_size];
     std::snprintf(key, sizeof key, "L/e/%016llx", static_cast<unsigned long long>(index));
-    if (index <= 0 || one.box->durable.contains(key))
+    if (index <= 0 || node.own_machine->durable.contains(key))
       return true;
-    auto snapshot = one.box->durable.find("L/cap");
-    return snapshot != one.box->durable.end() && get_int(decode_with_checksum(snapshot->second), "idx") >= index;
+    auto snapshot = node.own_machine->durable.find("L/cap");
+    return snapshot != node.own_machine->durable.end() &&
+           get_int(decode_with_checksum(snapshot->second), "idx") >= index;
   }
   [[nodiscard]] auto replica_at(const std::string& address) const -> const replica* {
-    for (const auto& one : replicas_)
-      if (one->settings.address == address)
-        return one.get();
+    for (const auto& node : replicas_)
+      if (node->settings.address == address)
+        return node.get();
     return nullptr;
   }
-  // What a disk holds: its vote, its entries, its snapshot's voters.
-  auto check_disk(replica& one) -> void {
+  // Checks the contents of a disk: its vote, its entries and the voters of its snapshot.
+  auto check_disk(replica& node) -> void {
     auto committed = committed_by_leader();
-    auto writes = one.host->disk()->syncs;
-    if (writes == one.seen_writes && committed.index == one.seen_commit)
+    auto sync_count = node.host->disk()->syncs;
+    if (sync_count == node.seen_writes && committed.index == node.seen_commit)
       return;
-    one.seen_writes = writes;
-    one.seen_commit = committed.index;
-    const auto& disk = one.box->durable;
-    if (auto it = disk.find("L/meta"); it != disk.end() && it->second != one.seen_meta) {
-      one.seen_meta = it->second;
+    node.seen_writes = sync_count;
+    node.seen_commit = committed.index;
+    const auto& disk = node.own_machine->durable;
+    if (auto it = disk.find("L/meta"); it != disk.end() && it->second != node.seen_meta) {
+      node.seen_meta = it->second;
       auto meta = decode_with_checksum(it->second);
       if (auto vote = get_string(meta, "voted"); !vote.empty())
         invariants_.vote_granted(get_string(meta, "id"), get_int(meta, "term"), vote);
     }
-    if (auto it = disk.find("L/cap"); it != disk.end() && it->second != one.seen_snapshot) {
-      one.seen_snapshot = it->second;
+    if (auto it = disk.find("L/cap"); it != disk.end() && it->second != node.seen_snapshot) {
+      node.seen_snapshot = it->second;
       auto snapshot = deserialize_snapshot(it->second);
       invariants_.voters_committed(snapshot.index.get(), snapshot.members);
     }
-    check_entries(one, committed);
+    check_entries(node, committed);
   }
   struct committed_range {
     std::int64_t index = 0, term = 0;
   };
   [[nodiscard]] auto committed_by_leader() const -> committed_range {
-    for (const auto& one : replicas_)
-      if (one->leads() && one->leads_term == invariants_.newest_term())
-        return {one->log->commit_index(), one->leads_term};
+    for (const auto& node : replicas_)
+      if (node->leads() && node->leads_term == invariants_.newest_term())
+        return {node->log->commit_index(), node->leads_term};
     return {};
   }
-  auto check_entries(replica& one, const committed_range& committed) -> void {
-    const auto& disk = one.box->durable;
-    // What follows on a disk from the newest leader's own entries is that leader's log.
-    auto leaders_own = std::int64_t{0};
+  auto check_entries(replica& node, const committed_range& committed) -> void {
+    const auto& disk = node.own_machine->durable;
+    // A disk whose log contains an entry of the newest leader's term matches that leader's log up to this entry.
+    auto last_of_leader_term = std::int64_t{0};
     for (auto it = disk.lower_bound("L/e/"); it != disk.end() && it->first.starts_with("L/e/"); ++it)
       if (invariants_.term_of(entry_index(it->first), it->second) == committed.term)
-        leaders_own = entry_index(it->first);
-    auto known = std::min(committed.index, leaders_own);
+        last_of_leader_term = entry_index(it->first);
+    auto known_committed = std::min(committed.index, last_of_leader_term);
     const std::string* previous = nullptr;
     auto previous_index = std::int64_t{-1};
     for (auto it = disk.lower_bound("L/e/"); it != disk.end() && it->first.starts_with("L/e/"); ++it) {
       auto index = entry_index(it->first);
       invariants_.entry_seen(index, it->second, previous_index == index - 1 ? previous : nullptr);
-      if (index <= known)
+      if (index <= known_committed)
         invariants_.entry_committed(index, it->second);
       previous = &it->second;
       previous_index = index;
     }
   }
 
-  auto found() -> void {
+  auto bootstrap() -> void {
     for (auto i = std::size_t{0}; i < schedule_.voters; ++i)
       start(*replicas_[i]);
-    auto end = world_.clock + founding_limit;
-    while (!broken() && world_.clock < end && run_.acknowledged == 0)
-      run_until(world_.clock + model_heartbeat);
+    auto end = simulation_.clock + bootstrap_limit;
+    while (!has_violation() && simulation_.clock < end && run_.acknowledged == 0)
+      run_until(simulation_.clock + model_heartbeat);
     if (run_.acknowledged == 0)
       fail("commits-again", "no command is acknowledged after the founding");
-    // A disk that is emptied from now on joins the log that there is; it begins no other.
-    for (auto& one : replicas_)
-      one->settings.may_bootstrap = false;
+    // A replica whose disk is wiped later must join the existing log and must not bootstrap a new one.
+    for (auto& node : replicas_)
+      node->settings.may_bootstrap = false;
   }
-  auto play_faults() -> void {
+  auto inject_faults() -> void {
     network_.faults = schedule_.background;
-    auto begin = world_.clock;
-    for (auto i = std::size_t{0}; i < schedule_.faults.size() && !broken(); ++i) {
+    auto begin = simulation_.clock;
+    for (auto i = std::size_t{0}; i < schedule_.faults.size() && !has_violation(); ++i) {
       const auto& fault = schedule_.faults[i];
       run_until(begin + fault.at);
-      if (broken())
+      if (has_violation())
         break;
-      if (!options_.left_out.contains(i))
-        carry_out(i, fault);
+      if (!options_.skipped_faults.contains(i))
+        inject(i, fault);
     }
     run_until(begin + schedule_.fault_phase);
   }
 
-  // One third of all faults aims at the leader.
+  // Selects the replica that a fault hits. One third of all faults hit a leader.
   auto target_of(const drawn_fault& fault) -> replica* {
     auto candidates = std::vector<replica*>();
-    for (auto& one : replicas_) {
-      if (one->removed || !one->used)
+    for (auto& node : replicas_) {
+      if (node->removed || !node->used)
         continue;
-      if (fault.target % 3 == 0 && one->leads())
-        return one.get();
-      candidates.push_back(one.get());
+      if (fault.target % 3 == 0 && node->leads())
+        return node.get();
+      candidates.push_back(node.get());
     }
     return candidates.empty() ? nullptr : candidates[fault.target / 3 % candidates.size()];
   }
-  auto other_than(const replica& one, std::uint64_t draw) -> replica* {
+  auto other_than(const replica& node, std::uint64_t draw) -> replica* {
     auto candidates = std::vector<replica*>();
     for (auto& other : replicas_)
-      if (other.get() != &one && other->used && !other->removed)
+      if (other.get() != &node && other->used && !other->removed)
         candidates.push_back(other.get());
     return candidates.empty() ? nullptr : candidates[draw % candidates.size()];
   }
-  auto spare() -> replica* {
-    for (auto& one : replicas_)
-      if (!one->used)
-        return one.get();
+  auto unused_replica() -> replica* {
+    for (auto& node : replicas_)
+      if (!node->used)
+        return node.get();
     return nullptr;
   }
 
-  // One that runs and is not among the committed voters.
-  auto unseated() -> replica* {
-    for (auto& one : replicas_)
-      if (one->up() && !seated(*one))
-        return one.get();
+  // Returns a running replica that is not a committed voter, or null if there is none.
+  auto running_learner() -> replica* {
+    for (auto& node : replicas_)
+      if (node->up() && !is_committed_voter(*node))
+        return node.get();
     return nullptr;
   }
-  [[nodiscard]] auto seated(const replica& one) const -> bool {
-    return invariants_.committed_voters().contains({one.settings.address, one.log->disk_id()});
+  [[nodiscard]] auto is_committed_voter(const replica& node) const -> bool {
+    return invariants_.committed_voters().contains({node.settings.address, node.log->disk_id()});
   }
 
-  auto carry_out(std::size_t number, const drawn_fault& fault) -> void {
-    auto* one = target_of(fault);
-    if (!one)
+  auto inject(std::size_t number, const drawn_fault& fault) -> void {
+    auto* node = target_of(fault);
+    if (!node)
       return;
-    auto text = std::string(name_of(fault.kind)) + " (" + one->name + (one->leads() ? ", leads" : "") + "), " +
-                std::to_string(fault.lasts / millisecond) + " ms";
-    run_.faults.push_back({number, std::to_string(world_.clock / millisecond) + " ms  " + text});
-    note("fault " + std::to_string(number) + ": " + text);
+    auto text = std::string(name_of(fault.kind)) + " (" + node->name + (node->leads() ? ", leads" : "") + "), " +
+                std::to_string(fault.duration / millisecond) + " ms";
+    run_.faults.push_back({number, std::to_string(simulation_.clock / millisecond) + " ms  " + text});
+    add_trace("fault " + std::to_string(number) + ": " + text);
     switch (fault.kind) {
       case fault_kind::crash:
-        stop(*one, "crashes");
-        return start_later(*one, fault.lasts);
+        stop(*node, "crashes");
+        return start_later(*node, fault.duration);
       case fault_kind::crash_after_vote:
-        one->crash_at_vote = true;
-        one->stays_down = fault.lasts;
+        node->crash_at_vote = true;
+        node->downtime = fault.duration;
         return;
       case fault_kind::crash_after_append:
-        one->crash_at_append = true;
-        one->stays_down = fault.lasts;
+        node->crash_at_append = true;
+        node->downtime = fault.duration;
         return;
       case fault_kind::power_loss:
-        one->box->powered = false;
-        stop(*one, "loses power");
-        return start_later(*one, fault.lasts);
+        node->own_machine->powered = false;
+        stop(*node, "loses power");
+        return start_later(*node, fault.duration);
       case fault_kind::cut_two_ways:
       case fault_kind::cut_one_way:
       case fault_kind::cut_refusing:
-        if (auto* other = other_than(*one, fault.other))
-          cut(*one, *other, fault);
+        if (auto* other = other_than(*node, fault.other))
+          cut(*node, *other, fault);
         return;
       case fault_kind::isolate:
       case fault_kind::isolate_inbound:
         for (auto& other : replicas_)
-          if (other.get() != one)
-            cut(*one, *other, fault);
+          if (other.get() != node)
+            cut(*node, *other, fault);
         return;
       case fault_kind::freeze:
-        return freeze(*one, fault.lasts);
+        return freeze(*node, fault.duration);
       case fault_kind::wipe_disk:
-        return wipe(*one, fault.lasts);
+        return wipe_disk(*node, fault.duration);
       case fault_kind::wipe_learner:
-        if (auto* learner = unseated())
-          wipe(*learner, fault.lasts);
+        if (auto* learner = running_learner())
+          wipe_disk(*learner, fault.duration);
         return;
       case fault_kind::replace:
-        return replace(*one);
+        return replace(*node);
       case fault_kind::replace_twice:
-        if (auto* first = spare()) {
-          replace(*one);
-          world_.schedule(world_.clock + fault.lasts, [this, first] {
-            if (!broken() && !faults_ended_)
-              replace(*first);
+        if (auto* replacement = unused_replica()) {
+          replace(*node);
+          simulation_.schedule(simulation_.clock + fault.duration, [this, replacement] {
+            if (!has_violation() && !faults_ended_)
+              replace(*replacement);
           });
         }
         return;
       case fault_kind::add:
-        if (auto* more = spare())
-          start(*more);
+        if (auto* added = unused_replica())
+          start(*added);
         return;
       case fault_kind::disk_full:
-        one->box->disk_full = true;
-        return world_.schedule(world_.clock + fault.lasts, [one] {
-          one->box->disk_full = false;
+        node->own_machine->disk_full = true;
+        return simulation_.schedule(simulation_.clock + fault.duration, [node] {
+          node->own_machine->disk_full = false;
         });
       case fault_kind::disk_slow:
-        one->box->sync_cost = slow_sync;
-        return world_.schedule(world_.clock + fault.lasts, [one] {
-          one->box->sync_cost = quick_sync;
+        node->own_machine->sync_cost = slow_sync_cost;
+        return simulation_.schedule(simulation_.clock + fault.duration, [node] {
+          node->own_machine->sync_cost = fast_sync_cost;
         });
-      case fault_kind::leave:
-        return leave(*one, fault.lasts);
+      case fault_kind::shut_down:
+        return shut_down(*node, fault.duration);
       case fault_kind::bad_network:
         network_.faults = source_.draw_network();
-        return world_.schedule(world_.clock + fault.lasts, [this] {
+        return simulation_.schedule(simulation_.clock + fault.duration, [this] {
           if (!faults_ended_)
             network_.faults = schedule_.background;
         });
     }
   }
-  auto cut(const replica& one, const replica& other, const drawn_fault& fault) -> void {
+  auto cut(const replica& node, const replica& other, const drawn_fault& fault) -> void {
     auto kind = fault.kind == fault_kind::cut_refusing ? cut_kind::refusing : cut_kind::silent;
     auto inbound = fault.kind != fault_kind::cut_one_way;
     auto outbound = fault.kind != fault_kind::isolate_inbound;
     auto paths = std::vector<std::pair<std::string, std::string>>();
     if (outbound)
-      paths.emplace_back(one.name, other.name);
+      paths.emplace_back(node.name, other.name);
     if (inbound)
-      paths.emplace_back(other.name, one.name);
+      paths.emplace_back(other.name, node.name);
     for (const auto& [from, to] : paths) {
       network_.cut(from, to, kind);
-      world_.schedule(world_.clock + fault.lasts, [this, from = from, to = to] {
+      simulation_.schedule(simulation_.clock + fault.duration, [this, from = from, to = to] {
         network_.heal(from, to);
       });
     }
   }
-  auto freeze(replica& one, monotonic_time lasts) -> void {
-    if (!one.up())
+  auto freeze(replica& node, monotonic_time duration) -> void {
+    if (!node.up())
       return;
-    one.host->freeze(true);
-    world_.schedule(world_.clock + lasts, [this, &one, process = one.process] {
-      thaw(one, process);
+    node.host->freeze(true);
+    simulation_.schedule(simulation_.clock + duration, [this, &node, process = node.process] {
+      unfreeze(node, process);
     });
   }
-  auto thaw(replica& one, std::uint64_t process) -> void {
-    if (one.up() && one.process == process && one.host->frozen)
-      one.host->freeze(false);
+  auto unfreeze(replica& node, std::uint64_t process) -> void {
+    if (node.up() && node.process == process && node.host->frozen)
+      node.host->freeze(false);
   }
-  // As on SIGTERM: hands the leadership over first, then ends.
-  auto leave(replica& one, monotonic_time lasts) -> void {
-    if (!one.up())
+  // Stops a process in the same way as SIGTERM: transfers the leadership first, then ends the process.
+  auto shut_down(replica& node, monotonic_time duration) -> void {
+    if (!node.up())
       return;
-    one.tasks->spawn(one.log->transfer_leadership(world_.clock + hand_over_limit));
-    world_.schedule(world_.clock + hand_over_limit, [this, &one, lasts, process = one.process] {
-      if (broken() || one.process != process)
-        return;
-      stop(one, "ends in order");
-      start_later(one, lasts);
-    });
-  }
-  auto wipe(replica& one, monotonic_time lasts) -> void {
-    if (!schedule_.careless && !majority_stands_without(&one))
+    node.tasks->spawn(node.log->transfer_leadership(simulation_.clock + leadership_transfer_limit));
+    simulation_.schedule(simulation_.clock + leadership_transfer_limit,
+                         [this, &node, duration, process = node.process] {
+                           if (has_violation() || node.process != process)
+                             return;
+                           stop(node, "ends in order");
+                           start_later(node, duration);
+                         });
+  }
+  auto wipe_disk(replica& node, monotonic_time duration) -> void {
+    if (!schedule_.allow_disk_majority_loss && !majority_is_intact_without(&node))
       return;
-    stop(one, "loses its disk");
-    one.box->durable.clear();
-    one.seen_meta.clear();
-    one.seen_snapshot.clear();
-    start_later(one, lasts);
-  }
-  auto replace(replica& one) -> void {
-    if (!schedule_.careless && !majority_stands_without(&one))
+    stop(node, "loses its disk");
+    node.own_machine->durable.clear();
+    node.seen_meta.clear();
+    node.seen_snapshot.clear();
+    start_later(node, duration);
+  }
+  auto replace(replica& node) -> void {
+    if (!schedule_.allow_disk_majority_loss && !majority_is_intact_without(&node))
       return;
-    stop(one, "is gone for good");
-    one.box->powered = false;
-    one.removed = true;
-    if (auto* next = spare())
+    stop(node, "is gone for good");
+    node.own_machine->powered = false;
+    node.removed = true;
+    if (auto* next = unused_replica())
       start(*next);
   }
 
-  [[nodiscard]] auto disk_stands(const voter& seat, const replica* without) const -> bool {
-    for (const auto& one : replicas_) {
-      if (one->settings.address != seat.address || one->removed || one.get() == without)
+  [[nodiscard]] auto disk_is_intact(const voter& member, const replica* without) const -> bool {
+    for (const auto& node : replicas_) {
+      if (node->settings.address != member.address || node->removed || node.get() == without)
         continue;
-      auto it = one->box->durable.find("L/meta");
-      return it != one->box->durable.end() && get_string(decode_with_checksum(it->second), "id") == seat.disk_id;
+      auto record = node->own_machine->durable.find("L/meta");
+      return record != node->own_machine->durable.end() &&
+             get_string(decode_with_checksum(record->second), "id") == member.disk_id;
     }
     return false;
   }
-  [[nodiscard]] auto majority_stands(const membership& voters, const replica* without) const -> bool {
-    return decides(voters, [&](const voter& seat) {
-      return disk_stands(seat, without);
+  [[nodiscard]] auto majority_is_intact(const membership& voters, const replica* without) const -> bool {
+    return has_quorum(voters, [&](const voter& member) {
+      return disk_is_intact(member, without);
     });
   }
-  // Of the committed voters and of those that any process goes by.
-  [[nodiscard]] auto majority_stands_without(const replica* without) const -> bool {
-    if (!majority_stands(invariants_.committed_voters(), without))
+  // Checks the committed voters and the voters that each running process uses.
+  [[nodiscard]] auto majority_is_intact_without(const replica* without) const -> bool {
+    if (!majority_is_intact(invariants_.committed_voters(), without))
       return false;
-    return std::all_of(replicas_.begin(), replicas_.end(), [&](const auto& one) {
-      return !one->up() || one->log->members().empty() || majority_stands(one->log->members(), without);
+    return std::all_of(replicas_.begin(), replicas_.end(), [&](const auto& node) {
+      return !node->up() || node->log->members().empty() || majority_is_intact(node->log->members(), without);
     });
   }
 
   auto end_faults() -> void {
-    note("all faults end");
+    add_trace("all faults end");
     faults_ended_ = true;
     network_.heal_all();
     network_.faults = {};
-    for (auto& one : replicas_) {
-      one->crash_at_vote = one->crash_at_append = false;
-      one->box->disk_full = false;
-      one->box->sync_cost = quick_sync;
-      if (one->up() && one->host->frozen)
-        one->host->freeze(false);
-      if (one->used && !one->removed && !one->up())
-        start(*one);
+    for (auto& node : replicas_) {
+      node->crash_at_vote = node->crash_at_append = false;
+      node->own_machine->disk_full = false;
+      node->own_machine->sync_cost = fast_sync_cost;
+      if (node->up() && node->host->frozen)
+        node->host->freeze(false);
+      if (node->used && !node->removed && !node->up())
+        start(*node);
     }
   }
   auto check_recovery() -> void {
-    if (!majority_stands_without(nullptr))
+    if (!majority_is_intact_without(nullptr))
       return;
-    run_.judged_liveness = true;
-    auto begin = world_.clock;
+    run_.liveness_checked = true;
+    auto begin = simulation_.clock;
     auto end = begin + recovery_limit;
-    while (!broken() && world_.clock < end && newest_acknowledged_send_ < begin)
-      run_until(world_.clock + model_heartbeat);
+    while (!has_violation() && simulation_.clock < end && newest_acknowledged_send_ < begin)
+      run_until(simulation_.clock + model_heartbeat);
     if (newest_acknowledged_send_ < begin)
       return fail("commits-again", "nothing is acknowledged after the faults");
-    auto target = invariants_.acknowledged_until(world_.clock);
-    while (!broken() && world_.clock < end && !caught_up(target).empty())
-      run_until(world_.clock + model_heartbeat);
-    if (auto late = caught_up(target); !late.empty())
-      fail("catches-up", late + " did not learn what is committed");
-  }
-  // The voters that run and lack entries up to `index`.
-  [[nodiscard]] auto caught_up(std::int64_t index) const -> std::string {
-    auto late = std::string();
-    for (const auto& one : replicas_) {
-      if (one->up() && one->state->index < index && seated(*one))
-        late += one->name + " ";
+    auto target = invariants_.acknowledged_until(simulation_.clock);
+    while (!has_violation() && simulation_.clock < end && !lagging_voters(target).empty())
+      run_until(simulation_.clock + model_heartbeat);
+    if (auto lagging = lagging_voters(target); !lagging.empty())
+      fail("catches-up", lagging + " did not learn what is committed");
+  }
+  // Returns the names of the running voters that have not applied all entries up to `index`.
+  [[nodiscard]] auto lagging_voters(std::int64_t index) const -> std::string {
+    auto lagging = std::string();
+    for (const auto& node : replicas_) {
+      if (node->up() && node->state->index < index && is_committed_voter(*node))
+        lagging += node->name + " ";
     }
-    return late;
+    return lagging;
   }
 
   const model_options& options_;
   schedule_source source_;
   drawn_schedule schedule_;
-  simulated_network world_;
+  simulated_network simulation_;
   message_network network_;
-  std::mt19937_64 dice_;
+  std::mt19937_64 random_engine_;
   std::vector<std::unique_ptr<replica>> replicas_;
   log_invariants invariants_;
   model_run run_;
@@ -723,7 +732,7 @@
 }  // namespace
 
 auto run_log_model(std::uint64_t seed, const model_options& options) -> model_run {
-  return model(seed, options).play();
+  return model(seed, options).execute();
 }
 
 auto shrink_log_model(std::uint64_t seed) -> model_run {
@@ -734,7 +743,7 @@
   auto invariant = best.violations[0].invariant;
   for (const auto& fault : std::vector<model_fault>(best.faults)) {
     auto fewer = options;
-    fewer.left_out.insert(fault.number);
+    fewer.skipped_faults.insert(fault.number);
     auto next = run_log_model(seed, fewer);
     if (!next.violations.empty() && next.violations[0].invariant == invariant)
       options = fewer;
@@ -745,8 +754,9 @@
 
 auto to_text(const model_run& run) -> std::string {
   auto out = "seed " + std::to_string(run.seed) + "\n";
-  for (const auto& one : run.violations)
-    out += "  broken at " + std::to_string(one.at_ms) + " ms: " + one.invariant + ": " + one.detail + "\n";
+  for (const auto& violation : run.violations)
+    out += "  broken at " + std::to_string(violation.at_ms) + " ms: " + violation.invariant + ": " + violation.detail +
+           "\n";
   out += "  schedule:\n";
   for (const auto& fault : run.faults)
     out += "    " + fault.text + "\n";
--- a/tools/simulator/log_model.hpp
+++ b/tools/simulator/log_model.hpp
@@ -1,5 +1,5 @@
-// Model checker of the replicated log: draws a schedule of faults from a seed, runs the real log on simulated
-// machines under it, and checks the invariants of a replicated state machine all the way.
+// Model checker of the replicated log. Draws a schedule of faults from a seed, runs the production log on simulated
+// machines under these faults, and checks the invariants of a replicated state machine throughout the run.
 #pragma once
 #include <cstdint>
 #include <set>
@@ -8,44 +8,46 @@
 
 namespace reachridge {
 
-// What broke, and when on the simulated clock.
+// A violated invariant and the simulated time of the violation.
 struct model_violation {
-  std::string invariant;  // one of those listed in docs/survival.md
+  std::string invariant;  // a name listed in docs/survival.md
   std::string detail;
   std::int64_t at_ms = 0;
 };
 
-// One step of a drawn schedule, as it was carried out.
+// A fault of the schedule that was injected.
 struct model_fault {
-  std::size_t number = 0;  // by which a replay may leave it out
+  std::size_t number = 0;  // position in the schedule; model_options::skipped_faults refers to it
   std::string text;
 };
 
+// The result of one run.
 struct model_run {
   std::uint64_t seed = 0;
-  std::vector<model_violation> violations;  // at most one: a run ends with the first
+  std::vector<model_violation> violations;  // at most one, because a run ends at its first violation
   std::vector<model_fault> faults;
-  std::vector<std::string> trace;  // filled only if asked for
-  std::int64_t acknowledged = 0;   // commands
+  std::vector<std::string> trace;  // filled only with model_options::trace
+  std::int64_t acknowledged = 0;   // number of acknowledged commands
   std::int64_t elections = 0;
-  std::int64_t snapshots = 0;  // received by a replica
+  std::int64_t snapshots = 0;  // snapshots that a replica restored
   std::int64_t membership_changes = 0;
-  bool judged_liveness = false;  // a majority of the voters' disks stood at the end
+  bool liveness_checked = false;  // true: a majority of the voters' disks was intact at the end
 };
 
+// Options of one run.
 struct model_options {
-  std::set<std::size_t> left_out = {};  // numbers of faults that are drawn but not carried out
+  std::set<std::size_t> skipped_faults = {};  // numbers of faults that are drawn but not injected
   bool trace = false;
 };
 
 // Runs the schedule of one seed. The same seed and options give the same run.
 auto run_log_model(std::uint64_t seed, const model_options& options = {}) -> model_run;
 
-// Leaves out faults, one after the other, as long as the same invariant still breaks; returns the run with the
-// fewest, traced. The run of a seed that breaks nothing comes back as it is.
+// Shrinks the schedule of a failing seed. Skips each fault whose omission still violates the same invariant and returns
+// the run with the remaining faults and a trace. The run of a seed without violations is returned unchanged.
 auto shrink_log_model(std::uint64_t seed) -> model_run;
 
-// A failing run for people: seed, invariant, the schedule and the last lines of the trace.
+// Formats a failing run: seed, violated invariant, schedule and the last lines of the trace.
 auto to_text(const model_run& run) -> std::string;
 
 }  // namespace reachridge
--- a/tools/simulator/log_schedule.hpp
+++ b/tools/simulator/log_schedule.hpp
@@ -1,4 +1,5 @@
-// Schedules of the replicated log's model checker: which faults a seed draws, when, and on what network.
+// Fault schedules of the model checker for the replicated log. A seed determines the faults, their times and the
+// network.
 #pragma once
 #include <cstdint>
 #include <random>
@@ -8,10 +9,11 @@
 
 namespace reachridge {
 
-// Timing of the replicas, which the spans of faults follow.
+// Timing of the replicas. The durations of faults are derived from these values.
 constexpr auto model_heartbeat = 50 * millisecond;
-constexpr auto model_silence = 400 * millisecond;  // after which a peer counts as lost
+constexpr auto model_failure_timeout = 400 * millisecond;  // a peer that is silent for this long counts as lost
 
+// The faults that a schedule may contain. log_schedule.cpp holds their texts and weights.
 enum class fault_kind {
   crash,
   crash_after_vote,
@@ -30,44 +32,44 @@
   add,
   disk_full,
   disk_slow,
-  leave,
+  shut_down,
   bad_network,
 };
 
-// A drawn fault. What `target` and `other` mean is settled when it is carried out.
+// A drawn fault. `target` and `other` are random numbers that select replicas when the fault is injected.
 struct drawn_fault {
   fault_kind kind;
-  monotonic_time at, lasts;
+  monotonic_time at, duration;
   std::uint64_t target, other;
 };
 
-// What is drawn before a run begins.
+// The parameters and faults of a run, drawn before the run begins.
 struct drawn_schedule {
   std::size_t voters = 3;
-  bool careless = false;  // disks may be lost beyond what a majority bears; only safety is checked then
+  bool allow_disk_majority_loss = false;  // disks may be lost beyond a majority; only safety is checked then
   monotonic_time command_gap = 0;
   monotonic_time fault_phase = 0;
   message_faults background;
   std::vector<drawn_fault> faults;
 };
 
-// Draws from one seed; the same seed gives the same schedule.
+// Draws schedules from one seed. The same seed gives the same schedule.
 class schedule_source {
  public:
-  explicit schedule_source(std::uint64_t seed) : dice_(seed) {}
+  explicit schedule_source(std::uint64_t seed) : random_engine_(seed) {}
   auto draw() -> drawn_schedule;
   auto draw_network() -> message_faults;
 
  private:
-  auto below(std::uint64_t limit) -> std::uint64_t {
-    return dice_() % limit;
+  auto random_below(std::uint64_t limit) -> std::uint64_t {
+    return random_engine_() % limit;
   }
   auto draw_kind() -> fault_kind;
   auto draw_fault(monotonic_time fault_phase) -> drawn_fault;
-  std::mt19937_64 dice_;
+  std::mt19937_64 random_engine_;
 };
 
-// For traces.
+// Returns the text of a fault kind for traces.
 auto name_of(fault_kind kind) -> const char*;
 
 }  // namespace reachridge
--- a/tools/simulator/main.cpp
+++ b/tools/simulator/main.cpp
@@ -1,5 +1,8 @@
-// Runs scenario files under seeds on simulated time: simulator [--seeds A-B] [--log] FILE...
-// Or measures emulated fleets: simulator --fleet N[,N...] (docs/CAPACITY.md).
+// The simulator's command line.
+//
+//   simulator [--seeds A-B] [--log] FILE...     runs scenario files under seeds on simulated time
+//   simulator --model [--seeds A-B]             checks the replicated log under fault schedules
+//   simulator --fleet N[,N...]                  measures emulated fleets (docs/CAPACITY.md)
 #include <popt.h>
 
 #include <charconv>
@@ -22,8 +25,8 @@
 
 namespace {
 
-// Whole numbers with commas between; throws error naming what is none.
-auto whole_list(const char* option, const std::string& given) -> std::vector<std::int64_t> {
+// Parses a comma-separated list of whole numbers. Throws request_error that names an invalid element.
+auto parse_number_list(const char* option, const std::string& given) -> std::vector<std::int64_t> {
   auto out = std::vector<std::int64_t>();
   if (given.empty())
     return out;
@@ -39,6 +42,7 @@
   return out;
 }
 
+// The parsed command line.
 struct options {
   std::string seeds, settings, history_file, fleets, partitions, rates, listeners, growth, json_file;
   double status_at = 0, span = 2;  // seconds
@@ -54,11 +58,11 @@
   return {reachridge::errc::out_of_range, why};
 }
 
-// The most that frames and bytes for each node may grow by from the first fleet to the last.
+// Upper bounds for the growth of frames and bytes per node from the first fleet to the last.
 struct growth_bound {
   double frames = 0, bytes = 0;
 };
-// "FRAMES,BYTES".
+// Parses "FRAMES,BYTES".
 auto parse_growth(const std::string& given) -> growth_bound {
   auto out = growth_bound();
   auto* end = static_cast<char*>(nullptr);
@@ -70,76 +74,77 @@
   return out;
 }
 
-auto parse_sweeps(const options& given) -> reachridge::sweeps {
-  auto out = reachridge::sweeps();
-  out.nodes = whole_list("fleet", given.fleets);
-  out.partitions = whole_list("cells", given.partitions);
-  out.rates = whole_list("rate", given.rates);
-  out.listeners = whole_list("listeners", given.listeners);
+auto parse_sweeps(const options& given) -> reachridge::sweep_plan {
+  auto out = reachridge::sweep_plan();
+  out.nodes = parse_number_list("fleet", given.fleets);
+  out.partitions = parse_number_list("cells", given.partitions);
+  out.rates = parse_number_list("rate", given.rates);
+  out.listeners = parse_number_list("listeners", given.listeners);
   if (!given.seeds.empty())
-    out.seed = static_cast<std::uint64_t>(whole_list("seeds", given.seeds)[0]);
+    out.seed = static_cast<std::uint64_t>(parse_number_list("seeds", given.seeds)[0]);
   if (!(given.span >= 0.5 && given.span <= 600))
     throw invalid("span: " + std::to_string(given.span) + " is outside 0.5 to 600 seconds");
   out.span = static_cast<reachridge::monotonic_time>(given.span * reachridge::second);
   return out;
 }
 
-auto write_json(const std::string& file, const reachridge::survey& survey) -> bool {
+auto write_json(const std::string& file, const reachridge::capacity_survey& capacity_survey) -> bool {
   auto out = std::ofstream(file);
-  out << reachridge::to_json(reachridge::to_value(survey)) << '\n';
+  out << reachridge::to_json(reachridge::to_value(capacity_survey)) << '\n';
   if (out.flush())
     return true;
   std::cerr << "json: " << file << " cannot be written\n";
   return false;
 }
 
-auto check_growth(const reachridge::survey& survey, const growth_bound& bound) -> int {
-  auto growth = reachridge::growth(survey);
-  auto kept = growth["frames"] <= bound.frames && growth["bytes"] <= bound.bytes;
-  std::cout << (kept ? "ok" : "FAIL") << ": frames x" << growth["frames"] << " (at most " << bound.frames
+auto check_growth(const reachridge::capacity_survey& capacity_survey, const growth_bound& bound) -> int {
+  auto growth = reachridge::growth(capacity_survey);
+  auto within_bound = growth["frames"] <= bound.frames && growth["bytes"] <= bound.bytes;
+  std::cout << (within_bound ? "ok" : "FAIL") << ": frames x" << growth["frames"] << " (at most " << bound.frames
             << "), bytes x" << growth["bytes"] << " (at most " << bound.bytes << ") for each node and second\n";
-  return kept ? 0 : exit_failed;
+  return within_bound ? 0 : exit_failed;
 }
 
-auto survey_fleets(const options& given) -> int {
-  auto survey = reachridge::survey();
+auto measure_fleets(const options& given) -> int {
+  auto capacity_survey = reachridge::capacity_survey();
   auto bound = std::optional<growth_bound>();
   try {
-    auto sweeps = parse_sweeps(given);
+    auto sweep_plan = parse_sweeps(given);
     if (!given.growth.empty()) {
       bound = parse_growth(given.growth);
-      if (sweeps.nodes.size() < 2)
+      if (sweep_plan.nodes.size() < 2)
         throw invalid("growth: wants two fleets to compare");
     }
-    survey = reachridge::run_sweeps(sweeps);
+    capacity_survey = reachridge::run_sweeps(sweep_plan);
   } catch (const reachridge::request_error& error) {
     std::cerr << error.message << '\n';
     return error.code == reachridge::errc::out_of_range ? exit_usage : exit_failed;
   }
-  std::cout << reachridge::to_text(survey);
-  if (!given.json_file.empty() && !write_json(given.json_file, survey))
+  std::cout << reachridge::to_text(capacity_survey);
+  if (!given.json_file.empty() && !write_json(given.json_file, capacity_survey))
     return exit_failed;
-  return bound ? check_growth(survey, *bound) : 0;
+  return bound ? check_growth(capacity_survey, *bound) : 0;
 }
 
 struct seed_range {
   std::int64_t first, last;
 };
-// "A" or "A-B".
+// Parses "A" or "A-B".
 auto parse_seeds(const std::string& given) -> seed_range {
   auto dash = given.find('-');
   auto first = std::stoll(given.substr(0, dash));
   return {first, dash == std::string::npos ? first : std::stoll(given.substr(dash + 1))};
 }
 
-// What the schedules of the replicated log came to, together.
+// Totals over all schedules of the replicated log.
 struct model_totals {
-  std::int64_t ran = 0, failed = 0, judged = 0, acknowledged = 0, elections = 0, snapshots = 0, changes = 0;
-  std::map<std::string, std::int64_t> broken;  // by invariant
+  std::int64_t ran = 0, failed = 0, liveness_checked_runs = 0, acknowledged = 0, elections = 0, snapshots = 0,
+               changes = 0;
+  std::map<std::string, std::int64_t> violations_by_invariant;  // by invariant
 
   auto add(const reachridge::model_run& run) -> void {
     ++ran;
-    judged += run.judged_liveness ? 1 : 0;
+    liveness_checked_runs += run.liveness_checked ? 1 : 0;
     acknowledged += run.acknowledged;
     elections += run.elections;
     snapshots += run.snapshots;
@@ -147,20 +152,20 @@
     if (run.violations.empty())
       return;
     ++failed;
-    ++broken[run.violations[0].invariant];
+    ++violations_by_invariant[run.violations[0].invariant];
   }
   auto print() const -> void {
-    std::cout << ran << " schedules, " << failed << " failed; " << judged << " judged for liveness, " << acknowledged
-              << " commands acknowledged, " << elections << " elections, " << snapshots << " snapshots, " << changes
-              << " membership changes\n";
-    for (const auto& [invariant, count] : broken)
+    std::cout << ran << " schedules, " << failed << " failed; " << liveness_checked_runs << " judged for liveness, "
+              << acknowledged << " commands acknowledged, " << elections << " elections, " << snapshots
+              << " snapshots, " << changes << " membership changes\n";
+    for (const auto& [invariant, count] : violations_by_invariant)
       std::cout << "  " << invariant << ": " << count << '\n';
   }
 };
 
-// Explores schedules of the replicated log; prints each that fails, cut down, and stops after the first few unless all
-// are wanted.
-auto explore_log_model(const options& given) -> int {
+// Runs one schedule of the replicated log per seed. Prints the first failing schedules in shrunk form, then stops; with
+// --log, lists the further failures instead of stopping.
+auto check_log_model(const options& given) -> int {
   constexpr auto failures_shown = 5;
   auto range = parse_seeds(given.seeds.empty() ? "1-10000" : given.seeds);
   auto totals = model_totals();
@@ -180,7 +185,7 @@
   return totals.failed || !totals.ran ? exit_failed : 0;
 }
 
-// "KEY=VALUE,...", laid over the scenario's settings.
+// Applies "KEY=VALUE,..." over the settings of the scenario.
 auto override_settings(reachridge::scenario& scenario, const std::string& given) -> void {
   auto in = std::istringstream(given);
   for (auto setting = std::string(); std::getline(in, setting, ',');) {
@@ -189,6 +194,7 @@
   }
 }
 
+// Returns the seeds given on the command line, or those that the scenario file names.
 auto seeds_of(const reachridge::scenario& scenario, const std::string& given) -> std::vector<std::int64_t> {
   auto range = given.empty() ? seed_range{scenario.seed_low, scenario.seed_high} : parse_seeds(given);
   auto out = std::vector<std::int64_t>();
@@ -201,10 +207,10 @@
 
 auto shrink_scenario(const reachridge::scenario& scenario, std::uint64_t seed, const std::string& file) -> int {
   try {
-    auto least = reachridge::shrink(scenario, seed, [](const std::string& line) {
+    auto shrunk = reachridge::shrink(scenario, seed, [](const std::string& line) {
       std::cerr << line << '\n';
     });
-    std::cout << reachridge::write_scenario(least, seed);
+    std::cout << reachridge::write_scenario(shrunk, seed);
     return 0;
   } catch (const reachridge::request_error& error) {
     std::cerr << file << ": " << error.message << '\n';
@@ -218,7 +224,7 @@
     out << reachridge::to_json(event) << '\n';
 }
 
-// Runs one seed and prints what came of it; true if it passed.
+// Runs one seed and prints its result. Returns true if the run passed.
 auto run_seed(const options& given, const reachridge::scenario& scenario, std::int64_t seed) -> bool {
   constexpr auto violations_shown = std::size_t{12};
   auto result = reachridge::run_scenario(scenario, static_cast<std::uint64_t>(seed));
@@ -271,7 +277,7 @@
   return counts.failed || !counts.ran ? exit_failed : 0;
 }
 
-// Text options as popt hands them over: allocated, null where they are not given.
+// A text option as returned by popt: an allocated string, or null if the option is absent. Frees the string.
 class text_option {
  public:
   text_option() = default;
@@ -291,7 +297,7 @@
   char* text_ = nullptr;
 };
 
-// None: an option that cannot be read; it was named on standard error.
+// Parses the command line. On an invalid option, prints an error to standard error and returns nothing.
 auto parse_command_line(int argc, const char** argv) -> std::optional<options> {
   auto out = options();
   text_option seeds, history, settings, fleets, partitions, rates, listeners, growth, json;
@@ -354,8 +360,8 @@
     return exit_usage;
   reachridge::configure_logging(log_lines_kept, "", false);
   if (given->model)
-    return explore_log_model(*given);
+    return check_log_model(*given);
   if (!given->fleets.empty())
-    return survey_fleets(*given);
+    return measure_fleets(*given);
   return run_scenarios(*given);
 }
--- a/tools/simulator/message_network.cpp
+++ b/tools/simulator/message_network.cpp
@@ -7,12 +7,12 @@
 namespace reachridge {
 namespace {
 
-constexpr auto transit_least = 200 * monotonic_time{1};  // microseconds, one way
-constexpr auto transit_spread = std::uint64_t{400};
+constexpr auto min_transit_time = 200 * monotonic_time{1};  // microseconds, one way
+constexpr auto transit_variation = std::uint64_t{400};
 
 }  // namespace
 
-// One end of a connection. Each send is one message.
+// One end of a connection. Each send is one message, subject to the faults of the network.
 class message_connection : public byte_stream, public std::enable_shared_from_this<message_connection> {
  public:
   message_connection(sim_host& owner, message_network& network, machine& remote)
@@ -24,28 +24,29 @@
   auto send(std::string_view bytes) -> void override {
     if (closed)
       return;
-    if (network_.chance(network_.faults.drop))
+    if (network_.happens_with(network_.faults.drop_share))
       return;
-    auto copies = network_.chance(network_.faults.duplicate) ? 2 : 1;
+    auto copies = network_.happens_with(network_.faults.duplicate_share) ? 2 : 1;
     for (auto i = 0; i < copies; ++i)
-      deliver(std::string(bytes), network_.world.clock + network_.transit_time());
+      deliver(std::string(bytes), network_.simulation.clock + network_.transit_time());
   }
   auto close() -> void override {
     if (closed)
       return;
     announce_end();
-    end();
+    break_connection();
   }
   [[nodiscard]] auto unsent_bytes() const -> std::size_t override {
     return 0;
   }
-  auto end() -> void {
+  auto break_connection() -> void {
     closed = true;
     readable_.wake();
     writable_.wake();
   }
-  [[nodiscard]] auto crosses(const std::string& a, const std::string& b) const -> bool {
-    return (local_.name == a && remote_.name == b) || (local_.name == b && remote_.name == a);
+  [[nodiscard]] auto crosses(const std::string& first_name, const std::string& second_name) const -> bool {
+    return (local_.name == first_name && remote_.name == second_name) ||
+           (local_.name == second_name && remote_.name == first_name);
   }
   std::weak_ptr<message_connection> peer;
 
@@ -53,51 +54,52 @@
   auto deliver(std::string bytes, monotonic_time at) -> void {
     auto sender = weak_from_this();
     auto receiver = peer;
-    auto* net = &network_;
+    auto* network = &network_;
     auto* from = &local_;
     auto* to = &remote_;
-    network_.world.schedule(at, [=, bytes = std::move(bytes)] {
-      if (!from->powered || !to->powered || net->blocked(*from, *to))
+    network_.simulation.schedule(at, [=, bytes = std::move(bytes)] {
+      if (!from->powered || !to->powered || network->blocked(*from, *to))
         return;
-      auto there = receiver.lock();
-      if (there && !there->closed) {
-        there->input += bytes;
-        there->readable_.wake();
+      auto remote_end = receiver.lock();
+      if (remote_end && !remote_end->closed) {
+        remote_end->input += bytes;
+        remote_end->readable_.wake();
         return;
       }
-      auto here = sender.lock();
-      if (here && !here->closed && !net->blocked(*to, *from))
-        here->end();
+      auto local_end = sender.lock();
+      if (local_end && !local_end->closed && !network->blocked(*to, *from))
+        local_end->break_connection();
     });
   }
-  // The other side learns of the end unless the power or the path is gone.
+  // Notifies the other end, unless a machine has no power or the path is cut.
   auto announce_end() -> void {
-    if (announced_)
+    if (end_announced_)
       return;
-    announced_ = true;
+    end_announced_ = true;
     if (!local_.powered)
       return;
     auto receiver = peer;
-    auto* net = &network_;
+    auto* network = &network_;
     auto* from = &local_;
     auto* to = &remote_;
-    network_.world.schedule(network_.world.clock + transit_least, [=] {
-      auto there = receiver.lock();
-      if (there && !there->closed && to->powered && !net->blocked(*from, *to))
-        there->end();
+    network_.simulation.schedule(network_.simulation.clock + min_transit_time, [=] {
+      auto remote_end = receiver.lock();
+      if (remote_end && !remote_end->closed && to->powered && !network->blocked(*from, *to))
+        remote_end->break_connection();
     });
   }
   message_network& network_;
   machine& local_;
   machine& remote_;
-  bool announced_ = false;
+  bool end_announced_ = false;
 };
 
+// A listener on a message_network. Registers its address for as long as it exists.
 class message_listener : public listener {
  public:
-  message_listener(message_host& owner, message_network& network, std::string address)
-      : owner(owner), network(network), address(std::move(address)) {
-    network.listeners_[this->address] = this;
+  message_listener(message_host& listening_host, message_network& host_network, std::string listen_address)
+      : owner(listening_host), network(host_network), address(std::move(listen_address)) {
+    host_network.listeners_[this->address] = this;
   }
   ~message_listener() override {
     network.listeners_.erase(address);
@@ -108,17 +110,17 @@
 };
 
 auto message_network::transit_time() -> monotonic_time {
-  auto time = transit_least + static_cast<monotonic_time>(dice_() % transit_spread);
-  if (chance(faults.late))
-    time += static_cast<monotonic_time>(dice_() % static_cast<std::uint64_t>(faults.latest + 1));
+  auto time = min_transit_time + static_cast<monotonic_time>(random_engine_() % transit_variation);
+  if (happens_with(faults.delay_share))
+    time += static_cast<monotonic_time>(random_engine_() % static_cast<std::uint64_t>(faults.max_delay + 1));
   return time;
 }
 
 auto message_network::machine_of(const std::string& address) const -> machine* {
   auto ip = address.substr(0, address.find(':'));
-  for (const auto& [name, box] : world.machines)
-    if (box->ip == ip)
-      return box.get();
+  for (const auto& [name, entry] : simulation.machines)
+    if (entry->ip == ip)
+      return entry.get();
   return nullptr;
 }
 
@@ -129,9 +131,9 @@
   std::erase_if(connections_, [](const auto& connection) {
     return connection.expired();
   });
-  for (const auto& held : connections_)
-    if (auto connection = held.lock(); connection && !connection->closed && connection->crosses(from, to))
-      connection->end();
+  for (const auto& weak_connection : connections_)
+    if (auto connection = weak_connection.lock(); connection && !connection->closed && connection->crosses(from, to))
+      connection->break_connection();
 }
 
 auto message_network::blocked(const machine& from, const machine& to) const -> bool {
@@ -139,16 +141,16 @@
 }
 
 auto message_network::refuses(const machine& from, const machine& to) const -> bool {
-  auto it = cuts_.find({from.name, to.name});
-  return it != cuts_.end() && it->second == cut_kind::refusing;
+  auto cut_path = cuts_.find({from.name, to.name});
+  return cut_path != cuts_.end() && cut_path->second == cut_kind::refusing;
 }
 
 auto message_network::register_connection(const std::shared_ptr<message_connection>& connection) -> void {
   connections_.push_back(connection);
 }
 
-message_host::message_host(message_network& network, machine& box, std::uint64_t seed)
-    : sim_host(network.world, box, true, seed), network_(network) {}
+message_host::message_host(message_network& network, machine& local_machine, std::uint64_t seed)
+    : sim_host(network.simulation, local_machine, true, seed), network_(network) {}
 
 auto message_host::listen(const std::string& address) -> std::unique_ptr<listener> {
   if (network_.listeners_.contains(address))
@@ -157,15 +159,16 @@
 }
 
 auto message_host::connect(std::string address, monotonic_time until, bool* refused) -> task<byte_stream_ptr> {
-  auto* there = network_.machine_of(address);
+  auto* target = network_.machine_of(address);
   auto round_trip = network_.transit_time() + network_.transit_time();
   co_await sleep_until(*this, std::min(until, now() + round_trip));
-  if (!there || now() >= until)
+  if (!target || now() >= until)
     co_return nullptr;
-  auto reachable = there->powered && !network_.blocked(own_machine, *there) && !network_.blocked(*there, own_machine);
-  auto it = network_.listeners_.find(address);
-  auto nobody_listens = there->powered && reachable && it == network_.listeners_.end();
-  if (nobody_listens || network_.refuses(own_machine, *there)) {
+  auto reachable =
+      target->powered && !network_.blocked(own_machine, *target) && !network_.blocked(*target, own_machine);
+  auto listener_entry = network_.listeners_.find(address);
+  auto no_listener = target->powered && reachable && listener_entry == network_.listeners_.end();
+  if (no_listener || network_.refuses(own_machine, *target)) {
     if (refused)
       *refused = true;
     co_return nullptr;
@@ -174,16 +177,16 @@
     co_await sleep_until(*this, until);
     co_return nullptr;
   }
-  auto near = std::make_shared<message_connection>(*this, network_, *there);
-  auto far = std::make_shared<message_connection>(it->second->owner, network_, own_machine);
-  near->peer = far;
-  far->peer = near;
-  near->remote_address = address;
-  far->remote_address = own_machine.ip;
-  network_.register_connection(near);
-  network_.register_connection(far);
-  it->second->accepted.push(far);
-  co_return near;
+  auto connecting = std::make_shared<message_connection>(*this, network_, *target);
+  auto accepting = std::make_shared<message_connection>(listener_entry->second->owner, network_, own_machine);
+  connecting->peer = accepting;
+  accepting->peer = connecting;
+  connecting->remote_address = address;
+  accepting->remote_address = own_machine.ip;
+  network_.register_connection(connecting);
+  network_.register_connection(accepting);
+  listener_entry->second->accepted.push(accepting);
+  co_return connecting;
 }
 
 }  // namespace reachridge
--- a/tools/simulator/run_digest.hpp
+++ b/tools/simulator/run_digest.hpp
@@ -1,5 +1,5 @@
-// A number that names what one simulated run did (design 9.2): two runs that send the same bytes at the same times and
-// write the same batches to their disks have the same digest.
+// A digest of one simulated run (design 9.2). Two runs that send the same bytes at the same times and write the same
+// batches to their disks have the same digest.
 #pragma once
 #include <cstdint>
 #include <string_view>
@@ -7,8 +7,8 @@
 namespace reachridge {
 
 // A 64-bit FNV-1a hash over a sequence of numbers and byte strings. Each string is preceded by its length, so that
-// ("ab", "c") and ("a", "bc") differ. Owned by the simulated network, which adds every frame and every batch; read once
-// the run is over.
+// ("ab", "c") and ("a", "bc") differ. The simulated network owns the digest and adds every frame and every batch; the
+// value is read after the run.
 class run_digest {
  public:
   auto add(std::string_view bytes) -> void {
@@ -29,7 +29,7 @@
     constexpr auto prime = std::uint64_t{0x100000001b3};
     hash_ = (hash_ ^ byte) * prime;
   }
-  std::uint64_t hash_ = 0xcbf29ce484222325;  // FNV's offset basis
+  std::uint64_t hash_ = 0xcbf29ce484222325;  // FNV offset basis
 };
 
 }  // namespace reachridge
--- a/tools/simulator/simulated_network.cpp
+++ b/tools/simulator/simulated_network.cpp
@@ -12,19 +12,19 @@
 simulated_network::~simulated_network() = default;
 
 auto simulated_network::machine_at(const std::string& name, const std::string& zone) -> machine& {
-  auto& m = machines[name];
-  if (!m) {
-    m = std::make_unique<machine>();
-    m->name = name;
-    m->zone = zone;
-    auto n = machines.size();
-    m->ip = "10.0." + std::to_string(n / 250) + "." + std::to_string(n % 250 + 1);
+  auto& entry = machines[name];
+  if (!entry) {
+    entry = std::make_unique<machine>();
+    entry->name = name;
+    entry->zone = zone;
+    auto number = machines.size();
+    entry->ip = "10.0." + std::to_string(number / 250) + "." + std::to_string(number % 250 + 1);
   }
-  return *m;
+  return *entry;
 }
 
-auto simulated_network::schedule(monotonic_time at, std::function<void()> fn) -> void {
-  events_.emplace(std::max(at, clock), std::move(fn));
+auto simulated_network::schedule(monotonic_time at, std::function<void()> callback) -> void {
+  events_.emplace(std::max(at, clock), std::move(callback));
 }
 
 auto simulated_network::reachable(const machine& from, const machine& to) const -> bool {
@@ -40,12 +40,12 @@
 auto simulated_network::covers(const path_set& paths, const machine& from, const machine& to) -> bool {
   if (paths.empty())
     return false;
-  for (const auto& a : {from.name, from.zone, std::string("*")})
-    for (const auto& b : {to.name, to.zone, std::string("*")}) {
-      if (!paths.count({a, b}))
+  for (const auto& from_name : {from.name, from.zone, std::string("*")})
+    for (const auto& to_name : {to.name, to.zone, std::string("*")}) {
+      if (!paths.count({from_name, to_name}))
         continue;
-      // A zone's own machines still reach each other; outside clients are no zone.
-      if ((a == "*" || b == "*") && (from.zone == to.zone || from.zone == "out" || to.zone == "out"))
+      // A cut with '*' affects neither machines of one zone among themselves nor clients outside of all zones.
+      if ((from_name == "*" || to_name == "*") && (from.zone == to.zone || from.zone == "out" || to.zone == "out"))
         continue;
       return true;
     }
@@ -57,29 +57,29 @@
 }
 auto simulated_network::heal(const std::string& from, const std::string& to, cut_kind kind) -> void {
   auto& paths = kind == cut_kind::refusing ? refusals_ : cuts_;
-  if (auto it = paths.find({from, to}); it != paths.end())
-    paths.erase(it);  // another cut of the same path may still stand
+  if (auto path = paths.find({from, to}); path != paths.end())
+    paths.erase(path);  // removes one cut; another cut of the same path may remain
 }
 
-auto simulated_network::add_to_agenda(sim_host& h) -> void {
-  auto at = h.next_run();
-  if (at == h.agenda_key_)
+auto simulated_network::add_to_agenda(sim_host& host) -> void {
+  auto due_time = host.next_run();
+  if (due_time == host.agenda_key_)
     return;
-  if (h.agenda_key_ < never)
-    agenda_.erase({h.agenda_key_, h.start_order_, &h});
-  h.agenda_key_ = at;
-  if (at < never)
-    agenda_.insert({at, h.start_order_, &h});
-}
-auto simulated_network::remove_from_agenda(sim_host& h) -> void {
-  agenda_.erase({h.agenda_key_, h.start_order_, &h});
-  std::erase(rescheduled_, &h);
-  if (running_ == &h)
+  if (host.agenda_key_ < never)
+    agenda_.erase({host.agenda_key_, host.start_order_, &host});
+  host.agenda_key_ = due_time;
+  if (due_time < never)
+    agenda_.insert({due_time, host.start_order_, &host});
+}
+auto simulated_network::remove_from_agenda(sim_host& host) -> void {
+  agenda_.erase({host.agenda_key_, host.start_order_, &host});
+  std::erase(rescheduled_, &host);
+  if (running_ == &host)
     running_ = nullptr;
 }
 
 namespace {
-constexpr auto steps_at_once = 64;  // of one process, before the others get their turn
+constexpr auto max_steps_per_turn = 64;  // of one process, before other processes run
 
 auto processor_time_ns() -> std::int64_t {
   constexpr auto ns_per_second = std::int64_t{1000000000};
@@ -94,11 +94,11 @@
 }
 
 auto simulated_network::machine_with_ip(const std::string& ip) const -> machine* {
-  auto* out = static_cast<machine*>(nullptr);
-  for (const auto& [name, one] : machines)
-    if (one->ip == ip)
-      out = one.get();
-  return out;
+  auto* found = static_cast<machine*>(nullptr);
+  for (const auto& [name, entry] : machines)
+    if (entry->ip == ip)
+      found = entry.get();
+  return found;
 }
 
 auto simulated_network::run(monotonic_time end) -> void {
@@ -116,18 +116,18 @@
   rescheduled_.clear();
 }
 
-// An event comes before a process that is due at the same time.
+// Runs an event before a process that is due at the same time.
 auto simulated_network::run_next(monotonic_time end) -> bool {
   update_agenda();
-  auto at = events_.empty() ? never : events_.begin()->first;
+  auto due_time = events_.empty() ? never : events_.begin()->first;
   auto* host = static_cast<sim_host*>(nullptr);
-  if (!agenda_.empty() && std::get<0>(*agenda_.begin()) < at) {
-    at = std::get<0>(*agenda_.begin());
+  if (!agenda_.empty() && std::get<0>(*agenda_.begin()) < due_time) {
+    due_time = std::get<0>(*agenda_.begin());
     host = std::get<2>(*agenda_.begin());
   }
-  if (at > end || at >= never)
+  if (due_time > end || due_time >= never)
     return false;
-  clock = std::max(clock, at);
+  clock = std::max(clock, due_time);
   if (host)
     run_host(*host);
   else
@@ -141,12 +141,13 @@
   event();
 }
 
-// One turn of a process. It may end while it runs: then `running_` is no longer it, and it must not be touched.
+// Runs one turn of a process. The process may be destroyed during its turn. In that case `running_` no longer points to
+// `host`, and `host` must not be accessed.
 auto simulated_network::run_host(sim_host& host) -> void {
   if (host.step_cost > 1 && clock > host.busy_until)
     ++wakes;
   running_ = &host;
-  auto charged = heap_scope(metered ? host.heap_account : nullptr);
+  auto heap_charge = heap_scope(metered ? host.heap_account : nullptr);
   auto began_ns = metered ? processor_time_ns() : 0;
   auto step_time = static_cast<monotonic_time>(static_cast<double>(host.step_cost) * host.own_machine.slowdown);
   if (host.blocked) {
@@ -155,7 +156,7 @@
     if (stopped || running_ != &host)
       return;
   }
-  for (auto i = 0; i < steps_at_once && !host.blocked && host.step(); ++i) {
+  for (auto i = 0; i < max_steps_per_turn && !host.blocked && host.step(); ++i) {
     ++steps;
     ++host.activity.resumes;
     host.busy_until = std::max(host.busy_until, clock) + step_time;
@@ -166,7 +167,7 @@
     return;
   if (metered)
     host.activity.cpu_ns += processor_time_ns() - began_ns;
-  host.schedule_changed();  // it has been busy
+  host.schedule_changed();  // busy_until has changed
 }
 
 }  // namespace reachridge
--- a/tools/simulator/simulated_stream.cpp
+++ b/tools/simulator/simulated_stream.cpp
@@ -8,21 +8,21 @@
 namespace {
 
 constexpr auto retransmit_interval = 200 * millisecond;
-constexpr auto stream_timeout = 15 * second;                // a stream that gets nothing through for so long breaks
-constexpr auto socket_buffer_bytes = std::size_t{1} << 20;  // what the far side's kernel takes unread
+constexpr auto stream_timeout = 15 * second;                // a packet undelivered for this long breaks the stream
+constexpr auto socket_buffer_bytes = std::size_t{1} << 20;  // unread bytes that the receiving kernel accepts
 constexpr auto packet_bytes = std::size_t{64} << 10;
 constexpr auto jitter = 100;  // microseconds
 
 }  // namespace
 
 auto sim_stream::open(sim_host& from, sim_host& to, const std::string& address) -> ends {
-  auto out =
+  auto stream_ends =
       ends{std::make_shared<sim_stream>(from, to.own_machine), std::make_shared<sim_stream>(to, from.own_machine)};
-  out.connecting->peer_ = out.accepting;
-  out.accepting->peer_ = out.connecting;
-  out.connecting->remote_address = address;
-  out.accepting->remote_address = from.own_machine.ip;
-  return out;
+  stream_ends.connecting->peer_ = stream_ends.accepting;
+  stream_ends.accepting->peer_ = stream_ends.connecting;
+  stream_ends.connecting->remote_address = address;
+  stream_ends.accepting->remote_address = from.own_machine.ip;
+  return stream_ends;
 }
 
 auto sim_stream::send(std::string_view bytes) -> void {
@@ -44,12 +44,12 @@
   if (closed)
     return;
   closing_ = true;
-  if (output_.empty() && !packet_under_way_)
+  if (output_.empty() && !packet_in_flight_)
     announce_close();
-  end();
+  break_stream();
 }
 
-auto sim_stream::end() -> void {
+auto sim_stream::break_stream() -> void {
   closed = true;
   readable_.wake();
   writable_.wake();
@@ -82,9 +82,9 @@
       deliver_close(notice, now + retransmit_interval);
     return;
   }
-  if (receiver->packet_incoming_)
-    return deliver_close(notice, now + millisecond);  // what was sent before comes first
-  receiver->end();
+  if (receiver->packet_arriving_)
+    return deliver_close(notice, now + millisecond);  // data sent before the close must arrive first
+  receiver->break_stream();
 }
 
 auto sim_stream::take_packet_bytes() -> std::shared_ptr<std::string> {
@@ -102,16 +102,16 @@
 }
 
 auto sim_stream::send_next_packet() -> void {
-  if (packet_under_way_ || output_.empty())
+  if (packet_in_flight_ || output_.empty())
     return;
-  packet_under_way_ = true;
+  packet_in_flight_ = true;
   auto bytes = take_packet_bytes();
   auto& network = host_.network;
   auto delay = network.latency + static_cast<monotonic_time>(network.random_engine() % jitter);
   while (network.loses_packet())
     delay += retransmit_interval;
   if (auto receiver = peer_.lock())
-    receiver->packet_incoming_ = true;
+    receiver->packet_arriving_ = true;
   deliver({&network, &host_.own_machine, &remote_machine_, weak_from_this(), peer_, std::move(bytes), network.clock},
           network.clock + delay);
 }
@@ -130,8 +130,8 @@
   if (!sent.from_machine->powered)
     return;
   auto reachable = network.reachable(*sent.from_machine, *sent.to_machine);
-  auto nobody_there = reachable && sent.to_machine->powered && (!receiver || receiver->closed);
-  if (nobody_there || network.refuses(*sent.from_machine, *sent.to_machine)) {
+  auto receiver_gone = reachable && sent.to_machine->powered && (!receiver || receiver->closed);
+  if (receiver_gone || network.refuses(*sent.from_machine, *sent.to_machine)) {
     if (sender)
       sender->on_refused();
     return;
@@ -156,23 +156,23 @@
 
 auto sim_stream::receive(const packet& sent, std::uint64_t whole_sends) -> void {
   {
-    auto charged = heap_scope(host_.network.metered ? host_.heap_account : nullptr);
+    auto heap_charge = heap_scope(host_.network.metered ? host_.heap_account : nullptr);
     input += *sent.bytes;
   }
   auto& activity = host_.activity;
   auto inside_machine = sent.from_machine == sent.to_machine;
   (inside_machine ? activity.near_frames : activity.frames_in) += whole_sends;
   (inside_machine ? activity.near_bytes : activity.bytes_in) += sent.bytes->size();
-  packet_incoming_ = false;
+  packet_arriving_ = false;
   readable_.wake();
 }
 
 auto sim_stream::on_delivered(std::size_t bytes) -> void {
   bytes_in_flight_ -= std::min(bytes_in_flight_, bytes);
-  packet_under_way_ = false;
+  packet_in_flight_ = false;
   writable_.wake();
   send_next_packet();
-  if (closing_ && output_.empty() && !packet_under_way_)
+  if (closing_ && output_.empty() && !packet_in_flight_)
     announce_close();
 }
 
@@ -182,9 +182,9 @@
 }
 
 auto sim_stream::on_timeout() -> void {
-  packet_under_way_ = false;
+  packet_in_flight_ = false;
   if (!closed)
-    end();
+    break_stream();
 }
 
 }  // namespace reachridge
--- a/tools/simulator/simulated_stream.hpp
+++ b/tools/simulator/simulated_stream.hpp
@@ -1,4 +1,4 @@
-// Streams between processes of a simulated fleet (design 9.1).
+// Byte streams between the processes of a simulated fleet (design 9.1).
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -9,19 +9,19 @@
 
 namespace reachridge {
 
-// One end of a stream. The ends know each other weakly; either may vanish with its process. Bytes travel in packets,
-// one at a time each way: a packet that cannot get through is sent again until the stream times out, and what a packet
-// carries has left the process: it arrives even if the process ends.
+// One end of a stream. Each end holds a weak pointer to the other, because either may be destroyed with its process.
+// Bytes travel in packets, at most one per direction at a time. A packet that cannot be delivered is retransmitted
+// until the stream times out. The bytes of a packet in flight are delivered even if the sending process ends.
 class sim_stream : public byte_stream, public std::enable_shared_from_this<sim_stream> {
  public:
   sim_stream(sim_host& owner, machine& remote) : byte_stream(owner), host_(owner), remote_machine_(remote) {}
   ~sim_stream() override {
     announce_close();
   }
-  // The two ends of a new connection.
   struct ends {
     std::shared_ptr<sim_stream> connecting, accepting;
   };
+  // Creates both ends of a connection from `from` to a listener of `to` at `address`.
   static auto open(sim_host& from, sim_host& to, const std::string& address) -> ends;
 
   auto send(std::string_view bytes) -> void override;
@@ -31,7 +31,7 @@
   }
 
  private:
-  // Bytes under way from one end to the other.
+  // Bytes in flight from one end to the other.
   struct packet {
     simulated_network* network;
     machine *from_machine, *to_machine;
@@ -39,7 +39,7 @@
     std::shared_ptr<std::string> bytes;
     monotonic_time sent_at;
   };
-  // A close under way.
+  // The notice in flight that one end has closed the stream.
   struct close_notice {
     simulated_network* network;
     machine *from_machine, *to_machine;
@@ -47,11 +47,11 @@
     monotonic_time sent_at;
   };
 
-  // Tells the other end, unless this machine has no power.
+  // Notifies the other end that this end has closed, unless the machine has no power.
   auto announce_close() -> void;
   static auto deliver_close(const close_notice& notice, monotonic_time at) -> void;
   static auto on_close_arrival(const close_notice& notice) -> void;
-  auto end() -> void;
+  auto break_stream() -> void;
 
   auto send_next_packet() -> void;
   auto take_packet_bytes() -> std::shared_ptr<std::string>;
@@ -68,8 +68,8 @@
   machine& remote_machine_;
   std::string output_;
   std::size_t bytes_in_flight_ = 0;
-  std::uint64_t sends_ = 0, sends_in_flight_ = 0;  // a send counts with the packet that carries its last byte
-  bool packet_under_way_ = false, closing_ = false, close_announced_ = false, packet_incoming_ = false;
+  std::uint64_t sends_ = 0, sends_in_flight_ = 0;  // a send is counted with the packet that carries its last byte
+  bool packet_in_flight_ = false, closing_ = false, close_announced_ = false, packet_arriving_ = false;
 };
 
 }  // namespace reachridge
