--- a/tools/simulator/capacity.cpp
+++ b/tools/simulator/capacity.cpp
@@ -71,7 +71,7 @@
                                                                  simulated.gateway_addresses, simulated.observed);
     change_configuration();
     auto started_at = simulated.network.clock;
-    wait("cells are founded and all nodes know all they need", [&] {
+    wait("all partitions are founded and every node knows the current cluster state", [&] {
       return fully_informed();
     });
     founding = simulated.network.clock - started_at;
@@ -79,7 +79,7 @@
     // Wait until partitions have stopped moving and sessions and connections have reached their steady rate.
     auto version = std::int64_t{-1};
     auto since = simulated.network.clock;
-    wait("cells stay where they are", [&] {
+    wait("no partition has moved for 2 s", [&] {
       auto current = leader_node().state.partitions_version.get();
       if (current != version)
         since = simulated.network.clock;
@@ -144,7 +144,7 @@
     while (simulated.operating && simulated.network.clock < deadline)
       simulated.network.run(simulated.network.clock + 10 * millisecond);
     if (!*succeeded)
-      throw request_error(errc::unsettled, "charter " + std::to_string(number) + " did not take hold");
+      throw request_error(errc::unsettled, "configuration " + std::to_string(number) + " did not take effect");
     return static_cast<double>(simulated.network.clock - started_at) / millisecond;
   }
   auto lose_gateway() -> void {
@@ -202,7 +202,7 @@
     auto deadline = simulated.network.clock + 300 * second;
     while (!holds()) {
       if (simulated.network.clock > deadline)
-        throw request_error(errc::unsettled, std::string("in 300 s it did not come to this: ") + condition);
+        throw request_error(errc::unsettled, std::string("condition not reached within 300 s: ") + condition);
       simulated.network.run(simulated.network.clock + 100 * millisecond);
     }
   }
@@ -253,7 +253,7 @@
       simulated.clients.push_back(
           std::make_unique<client>(*simulated.outside, *simulated.client_balancer, simulated.observed, plan));
     }
-    wait("all callers are linked", [&] {
+    wait("all clients are connected", [&] {
       return std::all_of(simulated.clients.begin(), simulated.clients.end(), [](auto& each_client) {
         return each_client->linked;
       });
@@ -545,7 +545,7 @@
         pivot = row;
     std::swap(matrix[i], matrix[pivot]);
     if (std::abs(matrix[i][i]) < 1e-12)
-      throw request_error(errc::fit_failed, "the points do not say so many terms");
+      throw request_error(errc::fit_failed, "the points do not determine a polynomial of this degree");
     for (auto row = std::size_t{0}; row < unknowns; ++row) {
       if (row == i)
         continue;
@@ -619,34 +619,34 @@
 
 auto to_text(const capacity_survey& survey) -> std::string {
   auto text = std::string(
-      "One process, a second (simulated time; counts are exact, cpu_us and heap_bytes are this machine's and "
-      "build's).\n");
+      "Figures per process and second (simulated time; counts are exact, cpu_us and heap_bytes depend on this machine "
+      "and build).\n");
   auto load_field = [](std::int64_t fleet_load::*field) {
     return [field](const fleet_measurement& measurement) {
       return std::to_string(measurement.load.*field);
     };
   };
-  text +=
-      table(survey.nodes,
-            "nodes (idle, " + std::to_string(survey.nodes.empty() ? 0 : survey.nodes[0].load.partitions) + " cells)",
-            load_field(&fleet_load::nodes), false);
+  text += table(
+      survey.nodes,
+      "nodes (idle, " + std::to_string(survey.nodes.empty() ? 0 : survey.nodes[0].load.partitions) + " partitions)",
+      load_field(&fleet_load::nodes), false);
   for (auto i = std::size_t{1}; i < survey.nodes.size(); ++i) {
     auto pair = capacity_survey();
     pair.nodes = {survey.nodes.front(), survey.nodes[i]};
     auto pair_growth = growth(pair);
     text += (i == 1 ? "\n" : "") + ("growth from " + std::to_string(survey.nodes.front().load.nodes)) + " to " +
-            std::to_string(survey.nodes[i].load.nodes) + " nodes, for each node and second: frames x" +
+            std::to_string(survey.nodes[i].load.nodes) + " nodes, per node and second: frames x" +
             short_number(pair_growth["frames"]) + " (" + short_number(pair_growth["frames_first"]) + " to " +
             short_number(pair_growth["frames_last"]) + "), bytes x" + short_number(pair_growth["bytes"]) + " (" +
             short_number(pair_growth["bytes_first"]) + " to " + short_number(pair_growth["bytes_last"]) + ")\n";
   }
   auto smallest_fleet = survey.nodes.empty() ? std::string("?") : std::to_string(survey.nodes[0].load.nodes);
   if (!survey.partitions.empty())
-    text += table(survey.partitions, "cells (idle, " + smallest_fleet + " nodes)", load_field(&fleet_load::partitions),
-                  false);
+    text += table(survey.partitions, "partitions (idle, " + smallest_fleet + " nodes)",
+                  load_field(&fleet_load::partitions), false);
   if (!survey.rates.empty())
     text += table(survey.rates,
-                  "messages a second asked for (" + smallest_fleet + " nodes; all processes of a role together)",
+                  "requested messages per second (" + smallest_fleet + " nodes; all processes of a role together)",
                   load_field(&fleet_load::rate), true);
   if (!survey.listeners.empty())
     text += table(survey.listeners, "listeners (" + smallest_fleet + " nodes; all processes of a role together)",
@@ -655,9 +655,9 @@
     return text;
 
   text +=
-      "\nslopes: start, for each node, for each node squared (where a line misses by over a tenth), for each cell, for "
-      "each copy held; at full size\n";
-  text += row_text("", {"start", "node", "node^2", "cell", "copy", "miss", "full size"});
+      "\nslopes: constant, per node, per node squared (if a line misses by more than a tenth), per partition, per copy "
+      "held; at full size\n";
+  text += row_text("", {"constant", "node", "node^2", "partition", "copy", "error", "full size"});
   auto copies_held = 2 * full_partitions / static_cast<double>(fleet_load{5200, 1, 0, 0}.storage_nodes());
   auto full_size_figures = std::map<std::string, figures>();
   for (const auto& role : {"queen", "leader", "comb", "forager", "scout", "node"})
@@ -696,8 +696,8 @@
                   short_number(slope), "-", short_number(node_curve.relative_error), short_number(full_size_figure)});
   }
 
-  text += "\nfull size: " + short_number(full_nodes) + " nodes, " + short_number(full_partitions) + " cells, " +
-          short_number(copies_held) + " copies a comb\n";
+  text += "\nfull size: " + short_number(full_nodes) + " nodes, " + short_number(full_partitions) + " partitions, " +
+          short_number(copies_held) + " copies per storage node\n";
   text += row_text(
       "", {"core % from", "to", "of 1.8 %", "heap MB", "of 128 MB", "KB/s", "of 18 KB/s", "frames/s", "timers"});
   for (const auto& role : {"queen", "leader", "comb", "node"}) {
@@ -720,11 +720,11 @@
          short_number(role_figures["timers"])});
   }
   auto membership_changes = (13.0 + 770 * 2) / day, configuration_changes = full_changes / day;
-  text += "members that go or come: " + short_number(membership_changes) + " a second x " +
+  text += "members that leave or join: " + short_number(membership_changes) + " per second x " +
           short_number(full_size_figures["fleet"]["loss_bytes"]) +
           " bytes = " + short_number(membership_changes * full_size_figures["fleet"]["loss_bytes"] / 1000) +
           " KB/s into each node\n";
-  text += "configuration changes: " + short_number(configuration_changes) + " a second x " +
+  text += "configuration changes: " + short_number(configuration_changes) + " per second x " +
           short_number(full_size_figures["fleet"]["charter_bytes"]) +
           " bytes = " + short_number(configuration_changes * full_size_figures["fleet"]["charter_bytes"] / 1000) +
           " KB/s into each node\n";
@@ -732,14 +732,14 @@
   auto gateways = static_cast<double>(fleet_load{5200, 1, 0, 0}.gateways()),
        storage_nodes = static_cast<double>(fleet_load{5200, 1, 0, 0}.storage_nodes());
   text += "links: " + short_number(full_links / gateways) +
-          " a forager; deliveries: " + short_number(full_deliveries / gateways) + " a second and forager, " +
-          short_number(full_deliveries / storage_nodes) + " a second and comb\n";
+          " per gateway; deliveries: " + short_number(full_deliveries / gateways) + " per second and gateway, " +
+          short_number(full_deliveries / storage_nodes) + " per second and storage node\n";
   auto add_cost_table = [&](const std::vector<fleet_measurement>& measurements, const char* fleet_figure,
                             const char* unit) {
     if (measurements.size() < 2)
       return;
-    text += "\nfor each " + std::string(unit) + ", all processes of a role together\n" +
-            row_text("", {"slope", "miss", "at full size"});
+    text += "\nper " + std::string(unit) + ", all processes of a role together\n" +
+            row_text("", {"slope", "error", "at full size"});
     for (const auto& role : process_roles)
       for (const auto& key : rate_figures) {
         auto line = fit(points_of(
@@ -780,11 +780,11 @@
                                   return total(measurement, "comb", "heap_bytes");
                                 }),
                             1);
-    text += "\nheap bytes for each listener: forager " + short_number(gateway_heap.coefficients[1]) +
-            " (a forager at full size " +
-            short_number(gateway_heap.coefficients[1] * full_links / gateways / (1 << 20)) + " MB), combs " +
+    text += "\nheap bytes per listener: gateway " + short_number(gateway_heap.coefficients[1]) +
+            " (a gateway at full size " +
+            short_number(gateway_heap.coefficients[1] * full_links / gateways / (1 << 20)) + " MB), storage nodes " +
             short_number(storage_heap.coefficients[1]) + " (the largest topic " +
-            short_number(storage_heap.coefficients[1] * full_listeners / (1 << 20)) + " MB on its pair)\n";
+            short_number(storage_heap.coefficients[1] * full_listeners / (1 << 20)) + " MB on both copies)\n";
   }
   return text;
 }
--- a/tools/simulator/log_invariants.cpp
+++ b/tools/simulator/log_invariants.cpp
@@ -19,7 +19,7 @@
   return text;
 }
 auto names_of(const membership& voters) -> std::string {
-  return voters.joint() ? names_of(voters.voters) + " and jointly " + names_of(voters.outgoing)
+  return voters.joint() ? names_of(voters.voters) + " joint with " + names_of(voters.outgoing)
                         : names_of(voters.voters);
 }
 
@@ -75,8 +75,8 @@
   auto term = get_int(content, "t");
   for (const auto& [bytes, known_variant] : known)
     require(known_variant.term != term, "log-matching",
-            "two entries " + std::to_string(index) + " of term " + std::to_string(term) + ": " + to_json(content) +
-                " and " + to_json(decode_with_checksum(bytes)));
+            "two different entries at index " + std::to_string(index) + " of term " + std::to_string(term) + ": " +
+                to_json(content) + " and " + to_json(decode_with_checksum(bytes)));
   auto& created = known[stored_entry];
   created.term = term;
   if (auto command = decode_membership_command(get_value(content, "d")))
@@ -92,14 +92,14 @@
   if (entry.previous.empty())
     entry.previous = *previous;
   require(entry.previous == *previous, "log-matching",
-          "the entry before " + std::to_string(index) + " of term " + std::to_string(entry.term) + " differs: " +
+          "the entry before index " + std::to_string(index) + " of term " + std::to_string(entry.term) + " differs: " +
               to_json(decode_with_checksum(entry.previous)) + " and " + to_json(decode_with_checksum(*previous)));
 }
 
 auto log_invariants::entry_committed(std::int64_t index, const std::string& stored_entry) -> void {
   auto [known, inserted] = committed_.emplace(index, stored_entry);
   require(inserted || known->second == stored_entry, "committed-stays",
-          "entry " + std::to_string(index) + " was committed as " + to_json(decode_with_checksum(known->second)) +
+          "index " + std::to_string(index) + " was committed as " + to_json(decode_with_checksum(known->second)) +
               " and as " + to_json(decode_with_checksum(stored_entry)));
   if (!inserted)
     return;
@@ -119,27 +119,27 @@
 auto log_invariants::applied(std::int64_t index, std::int64_t command, std::uint64_t digest) -> void {
   auto [applied_entry, index_is_new] = applied_commands_.emplace(index, command);
   require(index_is_new || applied_entry->second == command, "committed-stays",
-          "entry " + std::to_string(index) + " was applied as command " + std::to_string(applied_entry->second) +
+          "index " + std::to_string(index) + " was applied as command " + std::to_string(applied_entry->second) +
               " and as " + std::to_string(command));
   auto [command_entry, command_is_new] = index_of_command_.emplace(command, index);
   require(command_is_new || command_entry->second == index, "applied-once",
-          "command " + std::to_string(command) + " was applied at " + std::to_string(command_entry->second) +
-              " and at " + std::to_string(index));
+          "command " + std::to_string(command) + " was applied at index " + std::to_string(command_entry->second) +
+              " and at index " + std::to_string(index));
   require(!refused_commands_.contains(command), "refused-never-runs",
-          "command " + std::to_string(command) + " was refused and applied");
+          "command " + std::to_string(command) + " was refused and later applied");
   restored(index, digest);
 }
 
 auto log_invariants::restored(std::int64_t index, std::uint64_t digest) -> void {
   auto [known, inserted] = state_digests_.emplace(index, digest);
-  require(inserted || known->second == digest, "equal-state", "two states at index " + std::to_string(index));
+  require(inserted || known->second == digest, "equal-state", "two different states at index " + std::to_string(index));
 }
 
 auto log_invariants::acknowledged(std::int64_t index, std::int64_t command, monotonic_time now) -> void {
   auto applied_entry = applied_commands_.find(index);
   require(applied_entry != applied_commands_.end() && applied_entry->second == command, "committed-stays",
-          "command " + std::to_string(command) + " was acknowledged at " + std::to_string(index) +
-              ", where another one stands");
+          "command " + std::to_string(command) + " was acknowledged at index " + std::to_string(index) +
+              ", which holds a different command");
   auto& newest = acknowledged_index_[now];
   newest = std::max(newest, index);
   if (auto acknowledgement = acknowledged_index_.find(now); acknowledgement != acknowledged_index_.begin())
@@ -155,7 +155,7 @@
                                      const std::string& replica_name) const -> void {
   auto newest = acknowledged_until(at);
   require(applied_index >= newest, invariant,
-          replica_name + " stands at " + std::to_string(applied_index) + "; " + std::to_string(newest) +
+          replica_name + " has applied index " + std::to_string(applied_index) + "; index " + std::to_string(newest) +
               " had been acknowledged");
 }
 
@@ -165,7 +165,8 @@
   if (voters == checked_active_voters_ && committed_voters_ == checked_committed_voters_)
     return;
   require(quorums_overlap(voters, committed_voters_), "majorities-meet",
-          replica_name + " goes by the voters " + names_of(voters) + "; committed are " + names_of(committed_voters_));
+          replica_name + " uses the voters " + names_of(voters) + "; the committed voters are " +
+              names_of(committed_voters_));
   checked_active_voters_ = voters;
   checked_committed_voters_ = committed_voters_;
 }
--- a/tools/simulator/log_model.cpp
+++ b/tools/simulator/log_model.cpp
@@ -169,7 +169,7 @@
     try {
       node.log = std::make_unique<consensus>(*node.host, node.settings, state_machine_for(node));
     } catch (const std::exception& error) {
-      return fail("starts-again", node.name + " does not start from its disk: " + error.what());
+      return fail("starts-again", node.name + " fails to start from its disk: " + error.what());
     }
     node.tasks = std::make_unique<task_group>(*node.host);
     auto handler = rpc_handlers();
@@ -177,7 +177,7 @@
       return handle_call(node, std::move(request));
     };
     node.tasks->spawn(serve(*node.host, *node.tasks, node.host->listen(node.settings.address), handler, node.name));
-    add_trace(node.name + " starts, disk " + node.log->disk_id().substr(0, 4));
+    add_trace(node.name + " starts with disk " + node.log->disk_id().substr(0, 4));
   }
   auto destroy_process(replica& node) -> void {
     node.tasks.reset();
@@ -234,7 +234,7 @@
     check([&] {
       if (index < node.state->index)
         throw invariant_violation{"committed-stays",
-                                  node.name + " goes back to a snapshot of " + std::to_string(index)};
+                                  node.name + " restores an older snapshot, index " + std::to_string(index)};
     });
     node.state->index = index;
     node.state->digest = std::stoull(get_string(snapshot, "digest"));
@@ -242,7 +242,7 @@
       check([&] {
         invariants_.restored(index, node.state->digest);
       });
-    add_trace(node.name + " restores a snapshot, newest command at " + std::to_string(index));
+    add_trace(node.name + " restores a snapshot, newest command at index " + std::to_string(index));
   }
   auto leader_changed(replica& node) -> void {
     if (!node.leads())
@@ -251,7 +251,7 @@
     if (term != node.leads_term) {
       node.leads_term = term;
       ++run_.elections;
-      add_trace(node.name + " leads term " + std::to_string(term));
+      add_trace(node.name + " becomes leader of term " + std::to_string(term));
     }
     check([&] {
       invariants_.leader_seen(node.log->disk_id(), term);
@@ -329,7 +329,7 @@
       });
       ++run_.acknowledged;
       newest_acknowledged_send_ = std::max(newest_acknowledged_send_, sent_at);
-      add_trace(node.name + " acknowledges command " + std::to_string(command) + " at " + std::to_string(index));
+      add_trace(node.name + " acknowledges command " + std::to_string(command) + " at index " + std::to_string(index));
     } catch (const request_error& error) {
       if (error.outcome == execution_outcome::not_executed)
         invariants_.refused(command);
@@ -375,9 +375,9 @@
       if (!node || !disk_is_intact({get_string(member, "addr"), get_string(member, "id")}, nullptr) ||
           has_entry(*node, match))
         continue;
-      throw invariant_violation{"counted-is-synced", leader.name + " counts entry " + std::to_string(match) + " on " +
-                                                         node->name + "/" + get_string(member, "id").substr(0, 4) +
-                                                         ", which lacks it"};
+      throw invariant_violation{
+          "counted-is-synced", leader.name + " counts entry " + std::to_string(match) + " as durable on " + node->name +
+                                   "/" + get_string(member, "id").substr(0, 4) + ", which does not hold the entry"};
     }
   }
   [[nodiscard]] auto has_entry(const replica& node, std::int64_t index) const -> bool {
@@ -454,7 +454,7 @@
     while (!has_violation() && simulation_.clock < end && run_.acknowledged == 0)
       run_until(simulation_.clock + model_heartbeat);
     if (run_.acknowledged == 0)
-      fail("commits-again", "no command is acknowledged after the founding");
+      fail("commits-again", "no command is acknowledged after the bootstrap");
     // A replica whose disk is wiped later must join the existing log and must not bootstrap a new one.
     for (auto& node : replicas_)
       node->settings.may_bootstrap = false;
@@ -514,7 +514,7 @@
     auto* node = target_of(fault);
     if (!node)
       return;
-    auto text = std::string(name_of(fault.kind)) + " (" + node->name + (node->leads() ? ", leads" : "") + "), " +
+    auto text = std::string(name_of(fault.kind)) + " (" + node->name + (node->leads() ? ", leader" : "") + "), " +
                 std::to_string(fault.duration / millisecond) + " ms";
     run_.faults.push_back({number, std::to_string(simulation_.clock / millisecond) + " ms  " + text});
     add_trace("fault " + std::to_string(number) + ": " + text);
@@ -626,7 +626,7 @@
                          [this, &node, duration, process = node.process] {
                            if (has_violation() || node.process != process)
                              return;
-                           stop(node, "ends in order");
+                           stop(node, "shuts down in order");
                            start_later(node, duration);
                          });
   }
@@ -642,7 +642,7 @@
   auto replace(replica& node) -> void {
     if (!schedule_.allow_disk_majority_loss && !majority_is_intact_without(&node))
       return;
-    stop(node, "is gone for good");
+    stop(node, "is permanently removed");
     node.own_machine->powered = false;
     node.removed = true;
     if (auto* next = unused_replica())
@@ -697,12 +697,12 @@
     while (!has_violation() && simulation_.clock < end && newest_acknowledged_send_ < begin)
       run_until(simulation_.clock + model_heartbeat);
     if (newest_acknowledged_send_ < begin)
-      return fail("commits-again", "nothing is acknowledged after the faults");
+      return fail("commits-again", "no command is acknowledged after the faults");
     auto target = invariants_.acknowledged_until(simulation_.clock);
     while (!has_violation() && simulation_.clock < end && !lagging_voters(target).empty())
       run_until(simulation_.clock + model_heartbeat);
     if (auto lagging = lagging_voters(target); !lagging.empty())
-      fail("catches-up", lagging + " did not learn what is committed");
+      fail("catches-up", lagging + " did not apply all committed entries");
   }
   // Returns the names of the running voters that have not applied all entries up to `index`.
   [[nodiscard]] auto lagging_voters(std::int64_t index) const -> std::string {
@@ -755,8 +755,8 @@
 auto to_text(const model_run& run) -> std::string {
   auto out = "seed " + std::to_string(run.seed) + "\n";
   for (const auto& violation : run.violations)
-    out += "  broken at " + std::to_string(violation.at_ms) + " ms: " + violation.invariant + ": " + violation.detail +
-           "\n";
+    out += "  violation at " + std::to_string(violation.at_ms) + " ms: " + violation.invariant + ": " +
+           violation.detail + "\n";
   out += "  schedule:\n";
   for (const auto& fault : run.faults)
     out += "    " + fault.text + "\n";
--- a/tools/simulator/main.cpp
+++ b/tools/simulator/main.cpp
@@ -36,7 +36,7 @@
     auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
     if (error != std::errc() || end != text.data() + text.size())
       throw reachridge::request_error(reachridge::errc::out_of_range,
-                                      std::string(option) + ": '" + text + "' is no whole number");
+                                      std::string(option) + ": '" + text + "' is not a whole number");
     out.push_back(number);
   }
   return out;
@@ -70,7 +70,7 @@
   if (*end == ',')
     out.bytes = std::strtod(end + 1, &end);
   if (*end || !(out.frames > 0) || !(out.bytes > 0))
-    throw invalid("growth: '" + given + "' is not two numbers over 0 with a comma between");
+    throw invalid("growth: '" + given + "' is not two positive numbers separated by a comma");
   return out;
 }
 
@@ -101,7 +101,7 @@
   auto growth = reachridge::growth(capacity_survey);
   auto within_bound = growth["frames"] <= bound.frames && growth["bytes"] <= bound.bytes;
   std::cout << (within_bound ? "ok" : "FAIL") << ": frames x" << growth["frames"] << " (at most " << bound.frames
-            << "), bytes x" << growth["bytes"] << " (at most " << bound.bytes << ") for each node and second\n";
+            << "), bytes x" << growth["bytes"] << " (at most " << bound.bytes << ") per node and second\n";
   return within_bound ? 0 : exit_failed;
 }
 
@@ -113,7 +113,7 @@
     if (!given.growth.empty()) {
       bound = parse_growth(given.growth);
       if (sweep_plan.nodes.size() < 2)
-        throw invalid("growth: wants two fleets to compare");
+        throw invalid("growth: needs at least two fleets to compare");
     }
     capacity_survey = reachridge::run_sweeps(sweep_plan);
   } catch (const reachridge::request_error& error) {
@@ -155,7 +155,7 @@
     ++violations_by_invariant[run.violations[0].invariant];
   }
   auto print() const -> void {
-    std::cout << ran << " schedules, " << failed << " failed; " << liveness_checked_runs << " judged for liveness, "
+    std::cout << ran << " schedules, " << failed << " failed; " << liveness_checked_runs << " checked for liveness, "
               << acknowledged << " commands acknowledged, " << elections << " elections, " << snapshots
               << " snapshots, " << changes << " membership changes\n";
     for (const auto& [invariant, count] : violations_by_invariant)
@@ -302,32 +302,32 @@
   auto out = options();
   text_option seeds, history, settings, fleets, partitions, rates, listeners, growth, json;
   poptOption table[] = {
-      {"seeds", 's', POPT_ARG_STRING, seeds.target(), 0, "seeds, one number or A-B; by default those the file names",
-       "A-B"},
-      {"log", 'l', POPT_ARG_NONE, &out.show_log, 0, "print the ring of a failing run", nullptr},
+      {"seeds", 's', POPT_ARG_STRING, seeds.target(), 0,
+       "seeds, one number or A-B; default: the seeds in the scenario file", "A-B"},
+      {"log", 'l', POPT_ARG_NONE, &out.show_log, 0, "print the recent log of a failing run", nullptr},
       {"shrink", 0, POPT_ARG_NONE, &out.shrink, 0,
-       "cut the first seed's run down to the least that breaks the same rule, as a scenario; exit 3 if it passes",
+       "shrink the run of the first seed to a minimal scenario that violates the same rule; exit 3 if the run passes",
        nullptr},
-      {"look", 0, POPT_ARG_DOUBLE, &out.status_at, 0, "print the status of all processes at that time", "SECONDS"},
-      {"draw", 0, POPT_ARG_NONE, &out.draw, 0, "print the scenario with the faults that the first seed draws", nullptr},
-      {"set", 0, POPT_ARG_STRING, settings.target(), 0, "settings laid over the scenario's", "KEY=VALUE,..."},
+      {"look", 0, POPT_ARG_DOUBLE, &out.status_at, 0, "print the status of all processes at this time", "SECONDS"},
+      {"draw", 0, POPT_ARG_NONE, &out.draw, 0, "print the scenario with the faults drawn from the first seed", nullptr},
+      {"set", 0, POPT_ARG_STRING, settings.target(), 0, "override settings of the scenario", "KEY=VALUE,..."},
       {"digest", 0, POPT_ARG_NONE, &out.digest, 0, "print a digest over every frame and every batch written to a disk",
        nullptr},
-      {"history", 'o', POPT_ARG_STRING, history.target(), 0, "write what was seen to a file", "FILE"},
+      {"history", 'o', POPT_ARG_STRING, history.target(), 0, "write the history of observed events to a file", "FILE"},
       {"model", 0, POPT_ARG_NONE, &out.model, 0,
-       "no scenario: explore schedules of the replicated log, one for each seed", nullptr},
-      {"fleet", 0, POPT_ARG_STRING, fleets.target(), 0, "no scenario: measure idle fleets of so many hollow nodes",
+       "no scenario: check the replicated log under one fault schedule per seed", nullptr},
+      {"fleet", 0, POPT_ARG_STRING, fleets.target(), 0, "no scenario: measure idle fleets of N emulated nodes",
        "N[,N...]"},
-      {"cells", 0, POPT_ARG_STRING, partitions.target(), 0, "their cells (48); the smallest fleet with each of several",
-       "N[,N...]"},
-      {"rate", 0, POPT_ARG_STRING, rates.target(), 0, "the smallest fleet also with so many messages a second",
+      {"cells", 0, POPT_ARG_STRING, partitions.target(), 0,
+       "number of partitions (default 48); of several values, each is measured on the first fleet", "N[,N...]"},
+      {"rate", 0, POPT_ARG_STRING, rates.target(), 0, "also measure the first fleet with N messages per second",
        "N[,N...]"},
       {"listeners", 0, POPT_ARG_STRING, listeners.target(), 0,
-       "the smallest fleet also with so many listeners, at the first rate", "N[,N...]"},
-      {"span", 0, POPT_ARG_DOUBLE, &out.span, 0, "simulated time counted of each fleet (2)", "SECONDS"},
-      {"json", 0, POPT_ARG_STRING, json.target(), 0, "write the fleets' figures and slopes as JSON too", "FILE"},
+       "also measure the first fleet with N listeners, at the first rate", "N[,N...]"},
+      {"span", 0, POPT_ARG_DOUBLE, &out.span, 0, "simulated time measured of each fleet (default 2)", "SECONDS"},
+      {"json", 0, POPT_ARG_STRING, json.target(), 0, "also write the figures and slopes of the fleets as JSON", "FILE"},
       {"growth", 0, POPT_ARG_STRING, growth.target(), 0,
-       "exit 1 if frames or bytes for each node grow by more from the first fleet to the last", "FRAMES,BYTES"},
+       "exit 1 if frames or bytes per node grow by a larger factor from the first fleet to the last", "FRAMES,BYTES"},
       {nullptr, '\0', POPT_ARG_INCLUDE_TABLE, poptHelpOptions, 0, "Help options:", nullptr},
       {nullptr, '\0', 0, nullptr, 0, nullptr, nullptr}};
   auto context = std::unique_ptr<poptContext_s, decltype(&poptFreeContext)>(
--- a/tools/simulator/message_network.cpp
+++ b/tools/simulator/message_network.cpp
@@ -154,7 +154,7 @@
 
 auto message_host::listen(const std::string& address) -> std::unique_ptr<listener> {
   if (network_.listeners_.contains(address))
-    throw request_error(errc::listen_failed, address + ": in use");
+    throw request_error(errc::listen_failed, address + ": address already in use");
   return std::make_unique<message_listener>(*this, network_, address);
 }
 
--- a/tools/simulator/simulated_host.cpp
+++ b/tools/simulator/simulated_host.cpp
@@ -128,7 +128,7 @@
 }
 auto sim_host::listen(const std::string& address) -> std::unique_ptr<listener> {
   if (network.listeners.count(address))
-    throw request_error(errc::listen_failed, address + ": in use");
+    throw request_error(errc::listen_failed, address + ": address already in use");
   return std::make_unique<sim_listener>(*this, address);
 }
 
