--- a/ci/deploy_packages.py
+++ b/ci/deploy_packages.py
@@ -1,12 +1,14 @@
 #!/usr/bin/env python3
-"""Proves that deploy/system.toml lists every Debian package that its build touches.
+"""Checks that deploy/system.toml lists every Debian package that its build uses.
 
-Reads what the deploy build left under target/: the compiler's dependency files (headers) and the link
-commands, which are run again with the linker's trace (libraries and start files). Each file, and each
-tool that the build calls, must belong to a package that is essential or in the closure of Depends and
-Pre-Depends of the list. A file outside of it is named with its package and the exit status is 1.
+Reads the output of the deploy build under target/: the compiler's dependency files (headers) and the link
+commands. The script runs the link commands again with the linker's trace to find libraries and start files.
+Each file and each tool that the build calls must belong to a package that is essential or in the closure of
+Depends and Pre-Depends of the listed packages. The script prints each missing package with one of its files
+and exits with status 1.
 
-Usage: deploy_packages.py ROOT [--without PACKAGE]     (--without: as if the list lacked PACKAGE; for the test)
+Usage: deploy_packages.py ROOT [--without PACKAGE]
+--without ignores PACKAGE in the list, to test that the script notices a missing package.
 """
 import argparse
 import pathlib
@@ -24,8 +26,8 @@
     return subprocess.run(command, cwd=folder, check=True, capture_output=True, text=True).stdout
 
 
-class Installed:
-    """What dpkg knows of the packages that are installed."""
+class InstalledPackages:
+    """The dependencies of the installed packages, as dpkg reports them."""
 
     def __init__(self):
         self.depends, self.providers, self.essential = {}, {}, set()
@@ -41,60 +43,65 @@
                 if match := PACKAGE_NAME.match(virtual.strip()):
                     self.providers.setdefault(match.group(), []).append(name)
 
-    def named(self, dependency):
-        """The installed packages that stand for one name: itself, else those that provide it."""
+    def packages_for(self, dependency):
+        """Returns the package of this name, or else the installed packages that provide the name."""
         return [dependency] if dependency in self.depends else self.providers.get(dependency, [])
 
     def closure(self, names):
-        found, todo = set(), list(names)
-        while todo:
-            name = todo.pop()
-            if name in found or name not in self.depends:
+        """Returns the installed packages among the names and all their installed dependencies."""
+        visited, pending = set(), list(names)
+        while pending:
+            name = pending.pop()
+            if name in visited or name not in self.depends:
                 continue
-            found.add(name)
+            visited.add(name)
             for clause in self.depends[name].split(","):
-                for choice in clause.split("|"):
-                    if match := PACKAGE_NAME.match(choice.strip()):
-                        todo += self.named(match.group())
-        return found
+                for alternative in clause.split("|"):
+                    if match := PACKAGE_NAME.match(alternative.strip()):
+                        pending += self.packages_for(match.group())
+        return visited
 
 
-def headers(target):
-    """Every file outside of the repository that a dependency file names."""
+def header_files(target):
+    """Yields every absolute path in the compiler's dependency files."""
     for dependency_file in target.rglob("*.o.d"):
         text = dependency_file.read_text().replace("\\\n", " ")
         yield from (word for word in text.split(":", 1)[1].split() if word.startswith("/"))
 
 
 def linked_files(target):
-    """Every file that the linker opens when the programs are linked once more."""
+    """Yields every file that the linker opens when the programs are linked again."""
     for link_command in target.rglob("link.txt"):
         for line in link_command.read_text().splitlines():
             command = shlex.split(line)
             if not command[0].endswith(("c++", "g++")):
-                continue  # an archive of our own objects
+                continue  # creates an archive of the project's own objects
             trace = output_of(command + ["-Wl,--trace"], folder=link_command.parents[2])
-            yield from (found for found in re.findall(r"(?:^|[\s(])(/[^\s():]+)", trace, re.MULTILINE))
+            yield from (path for path in re.findall(r"(?:^|[\s(])(/[^\s():]+)", trace, re.MULTILINE))
 
 
-def tools():
+def tool_paths():
+    """Yields the path of each tool that the build calls."""
     for tool in BUILD_TOOLS:
         yield output_of(["sh", "-c", f"command -v {tool}"]).strip()
 
 
-def owners(files):
-    """The package of each file; a name may be recorded with or without /usr (merged folders)."""
-    spellings = {}
+def packages_of_files(files):
+    """Maps each file to its package, or to None. dpkg may record a path with or without /usr (merged directories)."""
+    recorded_paths = {}
     for file in files:
-        real = str(pathlib.Path(file).resolve())
-        spellings[real] = [real, real.removeprefix("/usr")]
-    asked = sorted({spelling for row in spellings.values() for spelling in row})
-    answer = subprocess.run(["dpkg", "-S", *asked], capture_output=True, text=True).stdout
+        resolved = str(pathlib.Path(file).resolve())
+        recorded_paths[resolved] = [resolved, resolved.removeprefix("/usr")]
+    queried = sorted({path for paths in recorded_paths.values() for path in paths})
+    output = subprocess.run(["dpkg", "-S", *queried], capture_output=True, text=True).stdout
     package_of = {}
-    for line in answer.splitlines():
+    for line in output.splitlines():
         packages, _, path = line.rpartition(": ")
         package_of[path] = packages.split(",")[0].split(":")[0]
-    return {file: next((package_of[s] for s in row if s in package_of), None) for file, row in spellings.items()}
+    return {
+        file: next((package_of[path] for path in paths if path in package_of), None)
+        for file, paths in recorded_paths.items()
+    }
 
 
 def main():
@@ -105,18 +112,22 @@
     root = options.root.resolve()
     target = root / "target"
     listed = tomllib.loads((root / "deploy/system.toml").read_text())["packages"]
-    installed = Installed()
+    installed = InstalledPackages()
     allowed = installed.closure([name for name in listed if name != options.without] + sorted(installed.essential))
-    files = {f for f in [*headers(target), *linked_files(target), *tools()] if not f.startswith((f"{root}/", "/tmp/"))}
+    files = {
+        f
+        for f in [*header_files(target), *linked_files(target), *tool_paths()]
+        if not f.startswith((f"{root}/", "/tmp/"))
+    }
     if not any(f.endswith(".h") or f.endswith(".hpp") for f in files):
-        sys.exit("no dependency file under target/: build by the deploy file first")
+        sys.exit("no dependency files of headers under target/: run the build command of deploy/system.toml first")
     missing = {}
-    for file, package in owners(files).items():
+    for file, package in packages_of_files(files).items():
         if package not in allowed:
             missing.setdefault(package or "(no package)", []).append(file)
-    for package, row in sorted(missing.items()):
-        print(f"deploy/system.toml lacks {package}: {row[0]} and {len(row) - 1} more")
-    print(f"{len(files)} files and tools of the deploy build looked up, {len(missing)} packages missing")
+    for package, paths in sorted(missing.items()):
+        print(f"deploy/system.toml lacks {package}: {paths[0]} and {len(paths) - 1} more")
+    print(f"{len(files)} files and tools of the deploy build checked, {len(missing)} packages missing")
     sys.exit(1 if missing else 0)
 
 
--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The one test command: builds twice (plain, and under ASan and UBSan) and runs all tests in both.
+# Builds the project twice, plain and with ASan and UBSan, and runs all tests in both builds.
 set -euo pipefail
 cd "$(dirname "$0")"
 cmake -S . -B build -G Ninja >/dev/null
--- a/tests.cpp
+++ b/tests.cpp
@@ -1,4 +1,4 @@
-// The runner of the types' own tests.
+// Runs the unit tests.
 #include <CppUTest/CommandLineTestRunner.h>
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 
