--- a/src/rpc/connection.hpp
+++ b/src/rpc/connection.hpp
@@ -1,4 +1,4 @@
-// One connection between two of our processes, as either side of it holds it (design 3.3).
+// A connection between two processes of the system. Both sides use the same class (design 3.3).
 #pragma once
 #include <cstddef>
 #include <memory>
@@ -10,12 +10,13 @@
 
 namespace reachridge {
 
-// Sends frames on a stream. Held by shared_ptr, and may outlive its stream's end: then it sends nothing.
+// Sends frames on a byte stream. Objects are held by shared_ptr and remain valid after the stream is closed; send() has
+// no effect then.
 class connection {
  public:
   explicit connection(byte_stream_ptr transport) : stream(std::move(transport)) {}
 
-  // Queues a frame with this body; nothing if the connection is closed.
+  // Queues a frame with this body. Does nothing if the connection is closed.
   auto send(const value& body) -> void {
     if (is_open())
       stream->send(encode_frame(body));
@@ -23,7 +24,7 @@
   [[nodiscard]] auto is_open() const -> bool {
     return stream && !stream->closed;
   }
-  // Bytes that are queued and not yet taken by the network.
+  // Returns the number of queued bytes that the network has not accepted yet.
   [[nodiscard]] auto unsent_bytes() const -> std::size_t {
     return stream ? stream->unsent_bytes() : 0;
   }
@@ -32,9 +33,9 @@
       stream->close();
   }
 
-  std::string peer_name;            // the name the other side gave in its hello
-  bool answers_heartbeats = false;  // the other side answers heartbeats, as it said in its hello
-  int silent_sweeps = 0;            // sweeps of the accepting side since it last received a frame
+  std::string peer_name;            // the name from the peer's hello message
+  bool answers_heartbeats = false;  // from the hello message: the peer replies to heartbeats
+  int silent_sweeps = 0;            // accepting side only: number of sweeps since the last received frame
   byte_stream_ptr stream;
 };
 using connection_ptr = std::shared_ptr<connection>;
--- a/src/rpc/frame.cpp
+++ b/src/rpc/frame.cpp
@@ -8,24 +8,25 @@
 namespace reachridge {
 namespace {
 
-constexpr auto length_bytes = std::size_t{4};  // before each body
-constexpr auto byte_bits = 8U;
+constexpr auto length_bytes = std::size_t{4};  // size of the length field before each body
+constexpr auto bits_per_byte = 8U;
 
 auto encode_length(std::size_t length) -> std::string {
   auto out = std::string(length_bytes, '\0');
   for (auto i = 0U; i < length_bytes; ++i)
-    out[i] = static_cast<char>(length >> (byte_bits * i));
+    out[i] = static_cast<char>(length >> (bits_per_byte * i));
   return out;
 }
 
 auto decode_length(std::string_view bytes) -> std::size_t {
   auto length = std::size_t{0};
   for (auto i = 0U; i < length_bytes; ++i)
-    length |= static_cast<std::size_t>(static_cast<unsigned char>(bytes[i])) << (byte_bits * i);
+    length |= static_cast<std::size_t>(static_cast<unsigned char>(bytes[i])) << (bits_per_byte * i);
   return length;
 }
 
-// Handles every whole frame of the input; what is left of it is the beginning of the next one.
+// Passes every complete frame of the input to `handle` and removes it from the input. An incomplete frame at the end
+// stays in the input.
 auto handle_buffered_frames(byte_stream& stream, const frame_handler& handle) -> void {
   auto offset = std::size_t{0};
   while (auto body = decode_frame(stream.input, offset))
--- a/src/rpc/frame_test.cpp
+++ b/src/rpc/frame_test.cpp
@@ -4,13 +4,13 @@
 
 #include "rpc/messages.hpp"
 
-// After all others: it redefines new.
+// This header must be the last one because it redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 namespace {
 using namespace reachridge;
 
-// The JSON of a message, which shows its fields and their order.
+// Returns the JSON of a message, which shows the fields and their order.
 template <class Message>
 auto fields_of(const Message& message) -> std::string {
   return to_json(encode(message));
@@ -19,8 +19,8 @@
 
 TEST_GROUP(rpc_messages){};
 
-// Every release of the product exchanges these.
-TEST(rpc_messages, have_the_fields_that_all_releases_know) {
+// Guards against a change of the encoding: processes of different releases exchange these messages.
+TEST(rpc_messages, encode_the_fields_that_all_releases_use) {
   STRCMP_EQUAL(R"({"op":"hello","me":"comb-1","replies":true})", fields_of(hello_message{"comb-1", true}).c_str());
   STRCMP_EQUAL(R"({"op":"relay","to":"10.0.0.1:7000"})", fields_of(relay_message{"10.0.0.1:7000"}).c_str());
   STRCMP_EQUAL(R"({"op":"beat","n":12})", fields_of(heartbeat_message{12}).c_str());
@@ -31,7 +31,7 @@
       to_json(encode_error_reply(3, request_error(errc::busy, "later", execution_outcome::not_executed, 5))).c_str());
 }
 
-TEST(rpc_messages, a_frame_is_its_length_and_a_cbor_map) {
+TEST(rpc_messages, a_frame_is_a_length_and_a_cbor_map) {
   auto expected = std::string("\x09\0\0\0\xa2\x62op\x64", 9) + "beat" + std::string("\x61n\x0c", 3);
   expected[0] = static_cast<char>(expected.size() - 4);
   auto frame = encode_frame(encode(heartbeat_message{12}));
@@ -43,7 +43,7 @@
   CHECK(kind_of_request(*body) == request_kind::heartbeat);
 }
 
-TEST(rpc_messages, a_frame_that_is_not_whole_is_left) {
+TEST(rpc_messages, an_incomplete_frame_is_not_decoded) {
   auto frame = encode_frame(object{{"op", "x"}});
   for (auto size = std::size_t{0}; size < frame.size(); ++size) {
     auto part = frame.substr(0, size);
@@ -53,8 +53,9 @@
   }
 }
 
-// The two sides tell frames apart by other fields: a request that says hello and has a number is a hello.
-TEST(rpc_messages, each_side_has_its_kinds) {
+// The accepting and the calling side classify frames by different fields. On the accepting side, the operation `hello`
+// takes precedence over a call id.
+TEST(rpc_messages, frames_are_classified_by_the_receiving_side) {
   CHECK(kind_of_request(object{{"op", "hello"}, {"q", 1}}) == request_kind::hello);
   CHECK(kind_of_request(object{{"op", "beaten"}}) == request_kind::heartbeat_reply);
   CHECK(kind_of_request(object{{"op", "x"}, {"q", 0}}) == request_kind::call);
@@ -64,7 +65,7 @@
   CHECK(kind_of_reply(object{{"op", "hello"}}) == reply_kind::notification);
 }
 
-TEST(rpc_messages, a_heartbeat_without_a_time_is_answered_without_one) {
+TEST(rpc_messages, the_reply_to_a_heartbeat_without_a_time_has_no_time) {
   auto heartbeat = decode_heartbeat(object{{"op", "beat"}});
   STRCMP_EQUAL(R"({"op":"beaten","n":null})", fields_of(heartbeat_reply_message{heartbeat.sent_at}).c_str());
 }
--- a/src/rpc/peer_connection.cpp
+++ b/src/rpc/peer_connection.cpp
@@ -8,8 +8,8 @@
 namespace reachridge {
 namespace {
 
-// A process on its way out may still accept an attempt and close it at once: after a close the next attempt follows
-// after this part of the heartbeat interval.
+// After the peer has closed a connection, the delay before the next attempt is the heartbeat interval divided by this
+// number. A process that is shutting down can still accept that attempt and close it immediately.
 constexpr auto closed_retry_divisor = 16;
 
 }  // namespace
@@ -52,13 +52,13 @@
   relayed_ = !relay.empty();
   ++attempts_;
   if (refused && !relayed_)
-    note_refusal();
+    handle_refusal();
   if (refused || !stream)
     closed_by_peer_ = false;
   co_return stream;
 }
 
-auto peer_connection::note_refusal() -> void {
+auto peer_connection::handle_refusal() -> void {
   refused_at_ = host_.now();
   if (closed_by_peer_ && on_process_gone)
     on_process_gone();
@@ -72,7 +72,7 @@
   });
   co_await read_frames(stream, handle, options_.own_name);
   if (up_)
-    note_end(started_at);
+    prepare_reconnect(started_at);
   disconnect();
 }
 
@@ -86,9 +86,9 @@
   tasks_.spawn(send_heartbeats(current));
 }
 
-// How a connection that was up has ended decides how the next is made: after silence perhaps a network partition lasts,
-// so it is tried over a relay first; after a close the process is perhaps gone.
-auto peer_connection::note_end(monotonic_time started_at) -> void {
+// If the connection ended by the failure timeout, a network partition is possible, and the next attempt goes through a
+// relay. If the peer closed the connection, its process may have ended, and the next attempt is direct.
+auto peer_connection::prepare_reconnect(monotonic_time started_at) -> void {
   auto now = host_.now();
   auto silent = is_silent(now);
   reconnect_delay_ = options_.heartbeat_interval;
@@ -96,7 +96,8 @@
   closed_by_peer_ = !silent && now - started_at > options_.heartbeat_interval;
 }
 
-// Any frame is a sign of life; the peer is asked for one only when none has come for a while.
+// Sends a heartbeat only if no frame was received for the heartbeat gap, because any frame proves that the peer is
+// alive. Closes the connection after the failure timeout.
 auto peer_connection::send_heartbeats(connection_ptr current) -> task<void> {
   auto last_sent = -never;
   while (current->is_open() && active == current) {
@@ -140,7 +141,7 @@
         active->send(encode(heartbeat_reply_message{decode_heartbeat(body).sent_at}));
       break;
     case reply_kind::heartbeat_reply:
-      break;  // its arrival is all that it says
+      break;  // last_contact_ is already updated; the reply has no other effect
     case reply_kind::notification:
       if (on_notification)
         on_notification(body);
@@ -158,7 +159,7 @@
 auto peer_connection::handle_reply(const value& reply) -> void {
   auto call = pending_calls_.find(decode_reply_id(reply));
   if (call == pending_calls_.end())
-    return;  // its caller has given up
+    return;  // the call has already ended by its deadline
   call->second->reply = reply;
   call->second->done.wake();
 }
--- a/src/rpc/peer_connection.hpp
+++ b/src/rpc/peer_connection.hpp
@@ -1,4 +1,4 @@
-// The calling side of a connection between our processes: it is made again whenever it ends (design 3.3).
+// The calling side of a connection between two processes of the system, with automatic reconnection (design 3.3).
 #pragma once
 #include <functional>
 #include <map>
@@ -13,54 +13,58 @@
 
 namespace reachridge {
 
-// Keeps one connection to one address, for as long as it lives. It counts as up only after a round trip, as a network
-// partition may let one direction through, and is closed once nothing was received for `failure_timeout`. Owned by the
-// module that calls the peer, on whose event loop everything runs.
+// Maintains one connection to one address for the lifetime of the object. The connection is up after the first received
+// frame, which proves a round trip: a network partition can let only one direction through. The connection is closed if
+// no frame was received for `failure_timeout`. The module that calls the peer owns the object, and all its code runs on
+// that module's event loop.
 class peer_connection {
  public:
   struct options {
-    std::string own_name;               // of this process, said in the hello
+    std::string own_name;               // name of this process, sent in the hello message
     std::string address;                // IP:PORT of the peer
-    monotonic_time heartbeat_interval;  // between heartbeats until the connection is up; also the first retry delay
-    monotonic_time failure_timeout;     // silence after which the peer counts as lost; also the longest retry delay
-    // Addresses of members that could relay, for every other attempt; one hop, no more. May be empty.
+    monotonic_time heartbeat_interval;  // between heartbeats until the connection is up; also the initial retry delay
+    monotonic_time failure_timeout;  // the peer is lost after this time without a frame; also the longest retry delay
+    // Returns the addresses of members that can relay to the peer. Every other connection attempt goes through one
+    // randomly chosen relay; there is never more than one relay hop. May be empty.
     std::function<std::vector<std::string>()> relays = {};
   };
   peer_connection(host& machine, options chosen);
 
-  // Sends a call and waits for its reply until the deadline. Throws request_error: the one that the peer answered;
-  // errc::unreachable if there is no connection, so that the call was not sent; errc::unclear if the connection or the
-  // time ended before the reply. A call is never sent again by itself.
+  // Sends a call and waits for its reply until the deadline. Throws the request_error that the peer replied with,
+  // errc::unreachable if the connection is not up and the call was therefore not sent, or errc::unclear if the
+  // connection was lost or the deadline passed before the reply. A call is never retried automatically.
   auto call(value body, monotonic_time deadline) -> task<value>;
-  // Sends a notification. False: there is no connection.
+  // Sends a notification. Returns false if the connection is not up.
   auto send(const value& body) -> bool;
-  // Open calls end at once as unclear, and nothing more is sent on the present connection.
+  // Gives up the current connection. Pending calls fail immediately with errc::unclear.
   auto disconnect() -> void;
 
   [[nodiscard]] auto is_up() const -> bool {
     return up_;
   }
-  // When the last frame was received, or the connection made if none was.
+  // Returns the time of the last received frame, or the time of the connection's start if no frame was received.
   [[nodiscard]] auto last_contact() const -> monotonic_time {
     return last_contact_;
   }
   [[nodiscard]] auto address() const -> const std::string& {
     return options_.address;
   }
-  // When a direct attempt last found that nobody listens there, since the connection was last up; -never: not so.
+  // Returns the time at which a direct attempt was last refused because no process listens on the address, or -never if
+  // no attempt was refused since the connection was last up.
   [[nodiscard]] auto refused_at() const -> monotonic_time {
     return refused_at_;
   }
-  // Is the connection up over another member?
+  // Returns whether the connection is up and goes through a relay.
   [[nodiscard]] auto relayed() const -> bool {
     return up_ && relayed_;
   }
 
+  // Callbacks. Each may be empty.
   std::function<void(const value&)> on_notification;
   std::function<void(bool up)> on_state_change;
-  // The peer closed the connection and the attempt after that was refused: its process has ended.
+  // Called if the peer closed the connection and refused the next attempt. Its process has then ended.
   std::function<void()> on_process_gone;
-  connection_ptr active;  // the present connection, up or not yet; null: none
+  connection_ptr active;  // the current connection, which may not be up yet; null if there is none
 
  private:
   struct pending_call {
@@ -69,17 +73,20 @@
     bool disconnected = false;
   };
 
-  // Connects, serves the connection until it ends, and begins anew.
+  // Connects, serves the connection until it ends, and repeats both until the object is destroyed.
   auto run() -> task<void>;
   auto open_stream() -> task<byte_stream_ptr>;
   auto run_connection(byte_stream_ptr stream) -> task<void>;
-  // The address of a relay for this attempt; empty: connect directly.
+  // Returns the address of a relay for this attempt, or an empty string to connect directly.
   auto choose_relay() -> std::string;
-  auto note_refusal() -> void;
+  // Records that a direct attempt was refused.
+  auto handle_refusal() -> void;
   auto start_connection(byte_stream_ptr stream) -> void;
-  auto note_end(monotonic_time started_at) -> void;
+  // Prepares the next attempt after the end of a connection that was up.
+  auto prepare_reconnect(monotonic_time started_at) -> void;
 
   auto send_heartbeats(connection_ptr current) -> task<void>;
+  // Returns the time without a received frame after which a heartbeat is due.
   [[nodiscard]] auto heartbeat_gap() const -> monotonic_time;
   [[nodiscard]] auto is_silent(monotonic_time now) const -> bool;
 
@@ -96,15 +103,15 @@
   host& host_;
   options options_;
   bool up_ = false;
-  bool relayed_ = false;  // the last attempt was made over another member
+  bool relayed_ = false;  // the last attempt went through a relay
   monotonic_time last_contact_ = 0;
   monotonic_time refused_at_ = -never;
-  int attempts_ = 0;                // to connect, since a connection was last up; odd ones go over a relay, if any
-  bool closed_by_peer_ = false;     // the last connection that was up: the next attempt tells whether its process lives
-  monotonic_time reconnect_delay_;  // before the next attempt; doubles up to the failure timeout
+  int attempts_ = 0;                // since a connection was last up; odd attempts go through a relay if there is one
+  bool closed_by_peer_ = false;     // the peer closed the last connection that was up and may have ended
+  monotonic_time reconnect_delay_;  // before the next attempt; doubled each time up to the failure timeout
   call_id last_call_id_ = 0;
   std::map<call_id, std::shared_ptr<pending_call>> pending_calls_;
-  task_group tasks_;  // last, so that its tasks end before what they use
+  task_group tasks_;  // the last member, so that its tasks are destroyed before the members that they use
 };
 
 }  // namespace reachridge
--- a/src/rpc/peer_connection_calls_test.cpp
+++ b/src/rpc/peer_connection_calls_test.cpp
@@ -8,7 +8,7 @@
 #include "rpc/peer_connection.hpp"
 #include "runtime/loopback.hpp"
 
-// After all others: it redefines new.
+// This header must be the last one because it redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 namespace {
@@ -18,7 +18,8 @@
 constexpr auto heartbeat_interval = 20 * millisecond;
 constexpr auto failure_timeout = 120 * millisecond;
 
-// The other side of a peer connection, answering by the test's orders: what it is asked, and over which connection.
+// The accepting side of a peer connection. Records the calls with the connection on which they arrived, and replies
+// when the test tells it to.
 class scripted_peer {
  public:
   struct received_call {
@@ -29,12 +30,12 @@
       : host_(machine), tasks_(tasks), listening_(listen_on_free_port(machine, address)) {
     tasks_.spawn(accept_all());
   }
-  // Answers a call over a connection, which need not be the one that it came over.
+  // Sends a reply to a call. The connection may differ from the one on which the call arrived.
   auto answer(std::size_t connection, call_id id, const char* text) -> void {
     streams.at(connection)->send(encode_frame(encode_reply(id, object{{"said", text}})));
   }
   std::string address;
-  std::vector<byte_stream_ptr> streams;  // of the connections, in their order
+  std::vector<byte_stream_ptr> streams;  // the streams of all accepted connections, in the order of acceptance
   std::vector<received_call> calls;
   bool ignores_heartbeats = false;
 
@@ -67,7 +68,7 @@
   std::unique_ptr<listener> listening_;
 };
 
-// A peer connection and its other side, on one loop.
+// A peer connection and its accepting side on the same event loop.
 struct connected_pair {
   ev_host machine{""};
   task_group tasks{machine};
@@ -79,7 +80,7 @@
                           .failure_timeout = failure_timeout}};
 };
 
-// One call; its result, or the code of its error, is there once it has ended.
+// Makes a call. When the call has ended, `result` is the text of the reply or the code of the error.
 auto call_and_record(peer_connection& caller, const char* operation, monotonic_time deadline, std::string& result)
     -> task<void> {
   try {
@@ -91,16 +92,17 @@
   }
 }
 
-// Looks again each millisecond until something is so.
+// Checks a condition every millisecond until it is true.
 template <class Condition>
 auto wait_until(ev_host& machine, Condition condition) -> task<void> {
   while (!condition())
     co_await sleep_for(machine, millisecond);
 }
 
-// A call is under way when its connection is lost; the next goes over another connection. Meanwhile replies come that
-// belong to neither: over the connection given up, and to the first call over the second connection.
-auto call_across_a_loss(connected_pair& pair, bool reset, std::string& first, std::string& next) -> task<void> {
+// The connection is lost during the first call, and the second call uses a new connection. During the second call,
+// replies arrive that must be ignored: replies on the lost connection, and a reply to the first call on the new one.
+auto call_across_connection_loss(connected_pair& pair, bool reset, std::string& first, std::string& next)
+    -> task<void> {
   auto& machine = pair.machine;
   auto& peer = pair.peer;
   auto is_up = [&pair] {
@@ -136,7 +138,7 @@
   pair.tasks.spawn(call_and_record(pair.caller, "two", machine.now() + second, next));
   co_await wait_until(machine, next_call_sent);
   peer.answer(0, peer.calls[0].id, "to the first");
-  peer.answer(0, peer.calls[1].id, "over the wrong link");
+  peer.answer(0, peer.calls[1].id, "on the lost connection");
   peer.answer(1, peer.calls[0].id, "to the first");
   co_await sleep_for(machine, 5 * millisecond);
   peer.answer(1, peer.calls[1].id, "to the second");
@@ -144,14 +146,14 @@
   machine.end();
 }
 
-// Three calls, of which the second gives up; the replies come in another order than the calls.
+// Makes three calls. The second call reaches its deadline, and the replies arrive in a different order than the calls.
 auto answer_out_of_order(connected_pair& pair, std::array<std::string, 3>& results) -> task<void> {
   auto& machine = pair.machine;
   auto& peer = pair.peer;
   auto is_up = [&pair] {
     return pair.caller.is_up();
   };
-  auto second_gave_up = [&] {
+  auto second_timed_out = [&] {
     return peer.calls.size() >= 3 && !results[1].empty();
   };
   auto others_ended = [&] {
@@ -161,7 +163,7 @@
   pair.tasks.spawn(call_and_record(pair.caller, "a", machine.now() + second, results[0]));
   pair.tasks.spawn(call_and_record(pair.caller, "b", machine.now() + 10 * millisecond, results[1]));
   pair.tasks.spawn(call_and_record(pair.caller, "c", machine.now() + second, results[2]));
-  co_await wait_until(machine, second_gave_up);
+  co_await wait_until(machine, second_timed_out);
   peer.answer(0, peer.calls[1].id, "to b");
   peer.answer(0, peer.calls[2].id, "to c");
   peer.answer(0, peer.calls[0].id, "to a");
@@ -172,14 +174,14 @@
 
 TEST_GROUP(peer_connection_calls){};
 
-// A call whose connection was reset or fell silent has no clear outcome and is not sent again by itself; what is said
-// of it later is not taken for the reply to another.
-TEST(peer_connection_calls, an_answer_of_an_earlier_link_is_not_taken_for_a_later_request) {
+// A call whose connection was reset or timed out fails with an unknown outcome and is not retried automatically. A late
+// reply to that call must not become the reply to another call.
+TEST(peer_connection_calls, a_reply_on_a_lost_connection_does_not_complete_a_later_call) {
   for (auto reset : {true, false}) {
     auto pair = connected_pair();
     auto first = std::string();
     auto next = std::string();
-    pair.tasks.spawn(call_across_a_loss(pair, reset, first, next));
+    pair.tasks.spawn(call_across_connection_loss(pair, reset, first, next));
     pair.machine.run();
     STRCMP_EQUAL("unclear", first.c_str());
     STRCMP_EQUAL("to the second", next.c_str());
@@ -187,8 +189,8 @@
   }
 }
 
-// Replies come in any order, each to its call, also where one of the callers has given up.
-TEST(peer_connection_calls, answers_out_of_order_go_to_who_asked) {
+// Replies may arrive in any order. Each reply completes its own call, even if another call has reached its deadline.
+TEST(peer_connection_calls, replies_out_of_order_complete_their_own_calls) {
   auto pair = connected_pair();
   auto results = std::array<std::string, 3>();
   pair.tasks.spawn(answer_out_of_order(pair, results));
--- a/src/rpc/peer_connection_test.cpp
+++ b/src/rpc/peer_connection_test.cpp
@@ -6,13 +6,13 @@
 #include "rpc/messages.hpp"
 #include "simulator/fleet.hpp"
 
-// After all others: it redefines new.
+// This header must be the last one because it redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 namespace {
 using namespace reachridge;
 
-// Connects, sends bytes, and reads until the other side closes or for three seconds.
+// Connects to an address, sends bytes, and reads until the peer closes the connection, but for at most three seconds.
 auto send_bytes(fleet& fleet, std::string address, std::string bytes, std::shared_ptr<bool> closed) -> task<void> {
   auto& machine = *fleet.outside;
   auto stream = co_await machine.connect(address, machine.now() + second);
@@ -27,7 +27,7 @@
   *closed = stream->closed;
 }
 
-// Sends bytes to the address for peers of a process. True: it closed the connection.
+// Sends bytes to the peer address of a process. Returns whether the process closed the connection.
 auto is_closed_after(fleet& fleet, const std::string& process, const std::string& bytes) -> bool {
   auto closed = std::make_shared<bool>(false);
   fleet.operator_tasks->spawn(send_bytes(fleet, fleet.processes.at(process)->settings.address, bytes, closed));
@@ -48,7 +48,7 @@
 
 TEST_GROUP(peer_connection_frames){};
 
-TEST(peer_connection_frames, a_malformed_one_ends_its_link_and_no_other) {
+TEST(peer_connection_frames, a_malformed_frame_closes_only_its_own_connection) {
   auto nodes = fleet(21, shape_without_clients());
   CHECK(nodes.begin());
   auto hello = encode_frame(object{{"op", "hello"}, {"me", "test"}});
@@ -61,7 +61,7 @@
   CHECK_FALSE(nodes.primary_of("alerts/0").empty());
 }
 
-TEST(peer_connection_frames, only_members_are_relayed_to) {
+TEST(peer_connection_frames, connections_are_relayed_only_to_members) {
   auto nodes = fleet(22, shape_without_clients());
   CHECK(nodes.begin());
   CHECK(is_closed_after(nodes, "comb-1", relay_frame("10.0.0.1:7000")));
--- a/src/rpc/relay.cpp
+++ b/src/rpc/relay.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr auto connect_timeout = 1 * second;
-constexpr auto max_unsent_bytes = std::size_t{1} << 20;  // towards a slow reader, before more is read for it
+constexpr auto max_unsent_bytes = std::size_t{1} << 20;  // reading pauses while more bytes are queued for a slow reader
 
-// Copies what comes from `source` to `target` until either ends, then closes `target`.
+// Copies the bytes of `source` to `target` until either stream ends, then closes `target`.
 auto copy_bytes(byte_stream_ptr source, byte_stream_ptr target) -> task<void> {
   while (true) {
     if (!source->input.empty()) {
--- a/src/rpc/server.cpp
+++ b/src/rpc/server.cpp
@@ -13,22 +13,24 @@
 namespace reachridge {
 namespace {
 
-// Sweeps without a frame until the other side is asked for a sign of life, and until its connection is closed. They
-// are counted, not timed: while this process itself was suspended, nobody counts as silent.
-constexpr auto ask_after_silent_sweeps = 2;
+// The number of sweeps without a frame after which the server sends a heartbeat, and after which it closes the
+// connection. The silence is counted in sweeps and not in time, so that peers do not count as silent while this process
+// itself was suspended.
+constexpr auto heartbeat_after_silent_sweeps = 2;
 constexpr auto max_silent_sweeps = 5;
 
-// What the tasks of one listening address share. Each of them holds it, as they end in any order.
+// The state that the tasks of one listening address share. Every task holds a shared_ptr to it because the tasks end in
+// any order.
 struct server_state {
   host& machine;
   task_group& tasks;
   rpc_handlers handlers;
   std::string own_name;
-  std::vector<std::weak_ptr<connection>> connections = {};  // accepted ones, those ended since the last sweep included
+  std::vector<std::weak_ptr<connection>> connections = {};  // includes connections that ended since the last sweep
 };
 using server_ptr = std::shared_ptr<server_state>;
 
-// Runs one call and sends its reply.
+// Executes a call and sends the reply.
 auto answer_call(server_ptr server, connection_ptr peer, call_id id, value call) -> task<void> {
   auto reply = value();
   try {
@@ -55,7 +57,7 @@
       peer->send(encode(heartbeat_reply_message{decode_heartbeat(body).sent_at}));
       break;
     case request_kind::heartbeat_reply:
-      break;  // its arrival is all that it says
+      break;  // silent_sweeps is already reset; the reply has no other effect
     case request_kind::call:
       server->tasks.spawn(answer_call(server, peer, decode_call_id(body), body));
       break;
@@ -71,23 +73,24 @@
   if (peer.silent_sweeps >= max_silent_sweeps) {
     log(log_level::info, server.own_name, peer.peer_name + " has been silent for long, its link ends");
     peer.close();
-  } else if (peer.silent_sweeps >= ask_after_silent_sweeps) {
+  } else if (peer.silent_sweeps >= heartbeat_after_silent_sweeps) {
     peer.send(encode(heartbeat_message{server.machine.now()}));
   }
 }
 
-// Only the calling side sends heartbeats by time, and none while it receives enough: so silence alone says nothing
-// here until the other side was asked.
+// Sweeps the connections of peers that reply to heartbeats. The calling side sends heartbeats on its own only while it
+// receives few frames, so a silent peer is not necessarily lost. The server closes a connection only after the peer has
+// not replied to a heartbeat.
 auto sweep_connections(server_ptr server) -> task<void> {
   while (true) {
     co_await sleep_for(server->machine, server->handlers.sweep_interval);
-    std::erase_if(server->connections, [](const auto& held) {
-      return held.expired();
+    std::erase_if(server->connections, [](const auto& candidate) {
+      return candidate.expired();
     });
-    for (const auto& held : server->connections) {
-      auto peer = held.lock();
-      auto can_be_asked = peer && peer->is_open() && peer->answers_heartbeats;
-      if (can_be_asked)
+    for (const auto& candidate : server->connections) {
+      auto peer = candidate.lock();
+      auto can_be_checked = peer && peer->is_open() && peer->answers_heartbeats;
+      if (can_be_checked)
         sweep_connection(*server, *peer);
     }
   }
@@ -95,10 +98,11 @@
 
 struct first_frame {
   value body;
-  std::size_t size = 0;  // bytes of the input it takes
+  std::size_t size = 0;  // encoded size of the frame in bytes, including its length field
 };
 
-// Waits for the first frame and leaves it in the input. Empty if the stream ended before. Throws decode_error.
+// Waits for the first frame of a stream and leaves its bytes in the input. Returns nullopt if the stream ended first.
+// Throws decode_error if the frame is malformed.
 auto read_first_frame(byte_stream_ptr stream) -> task<std::optional<first_frame>> {
   auto size = std::size_t{0};
   while (true) {
@@ -111,7 +115,8 @@
   }
 }
 
-// Takes a request for a relay off the input. Empty if that is not what the first frame is. Throws decode_error.
+// If the first frame is a relay message, removes it from the input and returns it. Otherwise returns nullopt. Throws
+// decode_error if the relay message has no address.
 auto take_relay_message(byte_stream& stream, const first_frame& first) -> std::optional<relay_message> {
   if (!is_relay_message(first.body))
     return {};
@@ -119,6 +124,7 @@
   return decode_relay(first.body);
 }
 
+// Handles the frames of a connection until it ends.
 auto serve_frames(server_ptr server, byte_stream_ptr stream) -> task<void> {
   auto peer = std::make_shared<connection>(stream);
   server->connections.emplace_back(peer);
@@ -130,6 +136,7 @@
     server->handlers.on_close(peer);
 }
 
+// Relays a stream to another member of the cluster. Closes the stream if the address is not that of a member.
 auto serve_relay(server_ptr server, byte_stream_ptr stream, std::string address) -> task<void> {
   const auto& may_relay = server->handlers.may_relay;
   if (!may_relay || !may_relay(address))
@@ -137,6 +144,7 @@
   co_await relay_stream(server->machine, server->tasks, stream, address, server->own_name);
 }
 
+// Serves an accepted stream. The first frame decides whether the stream is relayed or carries frames for this process.
 auto serve_stream(server_ptr server, byte_stream_ptr stream) -> task<void> {
   auto relay = std::optional<relay_message>();
   try {
--- a/src/rpc/server.hpp
+++ b/src/rpc/server.hpp
@@ -1,5 +1,5 @@
-// The accepting side of connections between our processes: calls, notifications, relays, and the end of connections
-// whose other side has gone silent (design 3.3, 3.8).
+// The accepting side of connections between processes of the system: serves calls, notifications and relays, and closes
+// connections to peers that no longer respond (design 3.3, 3.8).
 #pragma once
 #include <functional>
 #include <memory>
@@ -10,23 +10,26 @@
 
 namespace reachridge {
 
-// What a process does with the messages of its peers. All run on the event loop.
+// The callbacks of a server. All of them run on the event loop.
 struct rpc_handlers {
-  // A call; its result is the reply. A request_error goes back to the caller, any other exception as errc::malformed.
+  // Executes a call and returns the body of its reply. A request_error is returned to the caller, any other exception
+  // is returned as errc::malformed.
   std::function<task<value>(connection_ptr, value)> on_call;
-  // A message without a reply, in the order of sending. May be empty.
+  // Handles a message that has no reply. Messages arrive in the order in which the peer sent them. May be empty.
   std::function<void(const connection_ptr&, const value&)> on_notification;
-  // The connection ended. May be empty.
+  // Called when a connection has ended. May be empty.
   std::function<void(const connection_ptr&)> on_close;
-  // Is this the address of a member of the cluster? Empty: nothing is relayed.
+  // Returns whether an address belongs to a member of the cluster, to which connections may be relayed. If empty, the
+  // server relays no connection.
   std::function<bool(const std::string&)> may_relay;
-  // The span between two sweeps for connections whose other side has vanished without closing (its machine lost its
-  // power, or a network partition lasts): it is asked for a sign of life and, if none comes, the connection is closed.
-  // 0: such connections stay.
+  // The time between two sweeps. A sweep sends heartbeats to silent peers and closes the connections of peers that do
+  // not reply. It finds peers that are gone without having closed their connection, for example after a power failure
+  // or during a network partition. 0 disables the sweeps.
   monotonic_time sweep_interval = 0;
 };
 
-// Accepts connections and serves each in a task of `tasks`, until that group ends. `own_name` marks its log lines.
+// Accepts connections and serves each of them in a task of `tasks`, until that group is destroyed. The log lines appear
+// under `own_name`.
 auto serve(host& machine, task_group& tasks, std::unique_ptr<listener> listening, rpc_handlers handlers,
            std::string own_name) -> task<void>;
 
