--- a/src/runtime/command_line.cpp
+++ b/src/runtime/command_line.cpp
@@ -1,4 +1,4 @@
-// The settings of a daemon from its flags, by popt, and from the file that they name.
+// Reads the settings of a daemon from its flags with popt, and from the settings file that the flags name.
 #include <popt.h>
 
 #include <cstdlib>
@@ -15,13 +15,15 @@
 using popt_context = std::unique_ptr<poptContext_s, decltype(&poptFreeContext)>;
 using popt_text = std::unique_ptr<char, decltype(&std::free)>;
 
+// The result of parsing the command line. `values` contains the given flags by key.
 struct parsed_flags {
   std::string file;
   std::map<std::string, std::string> values;
   std::vector<setting_error> errors;
 };
 
-// The table of options; popt stores the text of each at the place of the same number in `texts`, the file first.
+// Returns the option table of popt. popt stores the value of option i in texts[i]. Option 0 is the settings file, and
+// the other options are the keys of the settings in their order.
 auto option_table(std::vector<char*>& texts) -> std::vector<poptOption> {
   const auto& keys = setting_keys();
   texts.assign(keys.size() + 1, nullptr);
@@ -34,7 +36,7 @@
   return options;
 }
 
-// The text that popt has allocated; none if the option was not given.
+// Takes ownership of a text that popt allocated. Returns nullopt if the option was not given.
 auto take_text(char*& text) -> std::optional<std::string> {
   auto owned = popt_text(std::exchange(text, nullptr), &std::free);
   if (!owned)
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -11,7 +11,7 @@
 
 namespace reachridge {
 
-auto file_mark(const std::string& file) -> std::string {
+auto file_fingerprint(const std::string& file) -> std::string {
   struct stat status {};
   if (file.empty() || ::stat(file.c_str(), &status) != 0)
     return {};
@@ -23,12 +23,12 @@
 namespace {
 
 constexpr auto max_log_lines = std::size_t{4000};
-constexpr auto data_folder_mode = mode_t{0755};
+constexpr auto data_directory_mode = mode_t{0755};
 constexpr auto file_check_interval = 1 * second;
 
 }  // namespace
 
-auto read_first_settings(const settings_source& source, settings& active) -> bool {
+auto read_initial_settings(const settings_source& source, settings& active) -> bool {
   auto errors = std::vector<setting_error>();
   active = source.read(errors);
   for (const auto& error : errors)
@@ -38,7 +38,7 @@
 
 auto prepare_process(const settings& active) -> void {
   if (!active.data_directory.empty())
-    ::mkdir(active.data_directory.c_str(), data_folder_mode);
+    ::mkdir(active.data_directory.c_str(), data_directory_mode);
   configure_logging(max_log_lines, active.data_directory, active.log_to_stderr);
 }
 
@@ -68,14 +68,15 @@
   log(log_level::info, active.name, "settings taken");
 }
 
-auto watch_file(host& machine, std::string file, std::string mark, std::function<void()> on_change) -> task<void> {
+auto watch_file(host& machine, std::string file, std::string fingerprint, std::function<void()> on_change)
+    -> task<void> {
   while (true) {
     co_await sleep_for(machine, file_check_interval);
-    auto present = file_mark(file);
-    auto changed = present != mark && !present.empty();
-    if (changed)
+    auto current = file_fingerprint(file);
+    auto has_changed = current != fingerprint && !current.empty();
+    if (has_changed)
       on_change();
-    mark = present;
+    fingerprint = current;
   }
 }
 
--- a/src/runtime/daemon_test.cpp
+++ b/src/runtime/daemon_test.cpp
@@ -8,13 +8,13 @@
 #include <string>
 #include <vector>
 
-// After all others: it redefines new.
+// This header must be the last one because it redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 namespace {
 using namespace reachridge;
 
-// Stands in for a daemon: remembers the settings and the shutdown that it was given.
+// A fake daemon that records its settings, its reloads and its shutdown.
 struct recording_daemon {
   recording_daemon(host& machine, const settings& initial) : host_(machine), active(initial) {
     last = this;
@@ -24,26 +24,27 @@
     reloaded_lag_limits.push_back(next.lag_limit);
   }
   auto leave(monotonic_time deadline) -> task<void> {
-    time_to_leave = deadline - host_.now();
+    shutdown_time = deadline - host_.now();
     co_return;
   }
   host& host_;
   settings active;
   static inline recording_daemon* last = nullptr;
   static inline std::vector<monotonic_time> reloaded_lag_limits;
-  static inline monotonic_time time_to_leave = 0;
+  static inline monotonic_time shutdown_time = 0;
 };
 
-// Settings that a test hands out, and the file whose change makes a daemon ask for them.
+// A source of settings that a test controls. The content of the file does not matter, but a change of the file makes
+// the daemon read the settings from `next`.
 struct scripted_source {
   scripted_source() : file(std::filesystem::temp_directory_path() / ("main_test." + std::to_string(::getpid()))) {
     write_file("a");
     recording_daemon::reloaded_lag_limits.clear();
-    recording_daemon::time_to_leave = 0;
+    recording_daemon::shutdown_time = 0;
     source.file = file;
     source.read = [this](std::vector<setting_error>& errors) {
       ++reads;
-      errors = reported;
+      errors = next_errors;
       return next;
     };
   }
@@ -57,12 +58,12 @@
   }
   std::string file;
   settings next;
-  std::vector<setting_error> reported;
+  std::vector<setting_error> next_errors;
   int reads = 0;
   settings_source source;
 };
 
-// Sends a signal to this process and waits until the settings were read for it.
+// Sends SIGHUP to this process and waits until the daemon has read the settings again.
 auto signal_and_wait_for_read(ev_host& machine, scripted_source& script) -> task<void> {
   auto reads_before = script.reads;
   ::kill(::getpid(), SIGHUP);
@@ -74,12 +75,13 @@
   return recording_daemon::reloaded_lag_limits.size();
 }
 
-// Changes the file and the settings, and has them read by signals, with and without errors; then ends the daemon.
-// `counts` takes the number of reloads after each of the first three.
+// Makes the daemon read the settings four times: after a change of the file, and by SIGHUP with an error, with an
+// unchangeable setting, and without errors. Then ends the daemon. `counts` receives the number of reloads after each of
+// the first three reads.
 auto change_settings(ev_host& machine, scripted_source& script, std::vector<std::size_t>& counts) -> task<void> {
   co_await sleep_for(machine, 100 * millisecond);
   script.next.lag_limit = 7;
-  script.next.seeds = {"127.0.0.1:2"};  // may change: no error, not taken up
+  script.next.seeds = {"127.0.0.1:2"};  // different seeds are not an error, but the running daemon keeps its seeds
   script.write_file("other bytes");
   while (reload_count() == 0)
     co_await sleep_for(machine, 50 * millisecond);
@@ -87,12 +89,12 @@
   STRCMP_EQUAL("127.0.0.1:1", recording_daemon::last->active.seeds.at(0).c_str());
 
   script.next.lag_limit = 8;
-  script.reported = {{"lag_ms", "soon is no whole number"}};
+  script.next_errors = {{"lag_ms", "soon is no whole number"}};
   co_await signal_and_wait_for_read(machine, script);
   counts.push_back(reload_count());
 
-  script.reported.clear();
-  script.next.zone = "z9";  // cannot change while running
+  script.next_errors.clear();
+  script.next.zone = "z9";  // the zone cannot change while the daemon runs
   co_await signal_and_wait_for_read(machine, script);
   counts.push_back(reload_count());
 
@@ -106,15 +108,15 @@
 
 TEST_GROUP(daemon_run){};
 
-TEST(daemon_run, faults_at_the_start_end_it_before_anything_stands) {
+TEST(daemon_run, invalid_initial_settings_prevent_the_start) {
   auto script = scripted_source();
-  script.reported = {{"name", "is missing"}};
+  script.next_errors = {{"name", "is missing"}};
   recording_daemon::last = nullptr;
   LONGS_EQUAL(2, run_daemon<recording_daemon>(script.source));
   CHECK(!recording_daemon::last);
 }
 
-TEST(daemon_run, a_changed_file_and_a_signal_have_it_read_again_and_faults_change_nothing) {
+TEST(daemon_run, a_file_change_and_a_signal_cause_a_reload_and_errors_prevent_it) {
   auto script = scripted_source();
   script.next.shutdown_timeout = 2 * second;
   script.next.seeds = {"127.0.0.1:1"};
@@ -127,6 +129,6 @@
   LONGS_EQUAL(0, run_daemon<recording_daemon>(script.source, on_start));
   CHECK((counts == std::vector<std::size_t>{1, 1, 1}));
   CHECK((recording_daemon::reloaded_lag_limits == std::vector<monotonic_time>{7, 8}));
-  // Inside the shutdown timeout, with time for output that is queued.
-  CHECK(recording_daemon::time_to_leave > second && recording_daemon::time_to_leave < 2 * second);
+  // The deadline is before the end of the shutdown timeout, so that time remains for queued output.
+  CHECK(recording_daemon::shutdown_time > second && recording_daemon::shutdown_time < 2 * second);
 }
--- a/src/runtime/http.hpp
+++ b/src/runtime/http.hpp
@@ -1,4 +1,5 @@
-// HTTP/1.1 with JSON towards clients and operators, on Beast's parsers (design 3.7): all parts together.
+// Includes all headers of the HTTP/1.1 server and client, which exchange JSON with clients and operators and use the
+// parsers of Boost.Beast (design 3.7).
 #pragma once
 #include "runtime/http_client.hpp"
 #include "runtime/http_message.hpp"
--- a/src/runtime/http_client.cpp
+++ b/src/runtime/http_client.cpp
@@ -31,8 +31,8 @@
   auto reply = http_reply();
   reply.status = static_cast<int>(parser.get().result_int());
   reply.plain = parser.get().body();
-  auto no_json = boost::json::error_code();
-  reply.body = boost::json::parse(reply.plain, no_json);
+  auto json_error = boost::json::error_code();
+  reply.body = boost::json::parse(reply.plain, json_error);
   return reply;
 }
 
@@ -47,11 +47,11 @@
   auto parser = response_parser();
   parser.body_limit(boost::none);
   parser.eager(true);
-  auto fault = error_code();
+  auto parse_error = error_code();
   auto is_complete = [&parser] {
     return parser.is_done();
   };
-  auto parsed = co_await parse_until(*stream, parser, is_complete, deadline, fault);
+  auto parsed = co_await parse_until(*stream, parser, is_complete, deadline, parse_error);
   stream->close();
   if (!parsed)
     co_return http_reply();
@@ -67,11 +67,11 @@
                "\r\nTransfer-Encoding: chunked\r\n\r\n");
   auto parser = std::make_unique<response_parser>();
   parser->body_limit(boost::none);
-  auto fault = error_code();
+  auto parse_error = error_code();
   auto has_header = [&parser] {
     return parser->is_header_done();
   };
-  auto parsed = co_await parse_until(*stream, *parser, has_header, deadline, fault);
+  auto parsed = co_await parse_until(*stream, *parser, has_header, deadline, parse_error);
   auto accepted = parsed && parser->get().result_int() == status_ok;
   if (!accepted)
     co_return nullptr;
--- a/src/runtime/http_client.hpp
+++ b/src/runtime/http_client.hpp
@@ -1,4 +1,4 @@
-// The HTTP client of our tools, tests and stand-ins (design 3.7).
+// The HTTP client that the tools and tests use (design 3.7).
 #pragma once
 #include <memory>
 #include <string>
@@ -9,17 +9,19 @@
 
 namespace reachridge {
 
+// The response to a request.
 struct http_reply {
-  int status = 0;     // 0: no answer came
-  value body;         // null if what came is no JSON
-  std::string plain;  // the body as it came
+  int status = 0;     // HTTP status; 0 if no response was received
+  value body;         // the parsed body; null if the body is not JSON
+  std::string plain;  // the unparsed body
 };
 
-// Sends one request on a connection of its own and reads the response. `address` is IP:PORT.
+// Sends a request on a new connection and reads the response until the deadline. `address` is IP:PORT.
 auto fetch(host& machine, std::string address, std::string method, std::string path, std::string body,
            monotonic_time deadline) -> task<http_reply>;
 
-// Opens a stream of JSON lines. Null: the server cannot be reached or does not take it.
+// Opens a stream of JSON lines on a new connection. Returns null if the server cannot be reached or does not accept the
+// stream before the deadline.
 auto open_json_stream(host& machine, std::string address, monotonic_time deadline) -> task<std::shared_ptr<json_lines>>;
 
 }  // namespace reachridge
--- a/src/runtime/http_message.cpp
+++ b/src/runtime/http_message.cpp
@@ -15,7 +15,7 @@
 constexpr auto status_unavailable = 503;
 constexpr auto status_gateway_timeout = 504;
 
-// What the caller holds does not fit what is there now.
+// Errors that report a conflict between the request and the current state.
 constexpr auto conflict_codes = std::to_array<errc>(
     {errc::stale_version, errc::version_taken, errc::sequence_too_low, errc::position_expired, errc::too_few_nodes});
 
@@ -44,7 +44,7 @@
   return out;
 }
 
-// The text up to a separator, and what follows it; the latter is empty if there is none.
+// The parts of a text before and after a separator. `after` is empty if the text does not contain the separator.
 struct split_text {
   std::string_view before, after;
 };
--- a/src/runtime/http_message.hpp
+++ b/src/runtime/http_message.hpp
@@ -1,4 +1,4 @@
-// HTTP requests and responses as the pages and their clients see them (design 3.7).
+// HTTP requests and responses as the request handlers see them (design 3.7).
 #pragma once
 #include <functional>
 #include <map>
@@ -11,34 +11,35 @@
 
 namespace reachridge {
 
-// A request with its target decoded.
+// A request whose target is already decoded into path and query.
 struct http_request {
   std::string method, path;
   std::map<std::string, std::string> query;
   std::string body;
-  monotonic_time deadline = never;  // its client waits no longer than this: nothing is begun afterwards
-  std::function<bool()> abandoned;  // has its client closed the connection? May be empty.
-  // Is there still a client that waits for the response?
+  monotonic_time deadline = never;  // the client stops waiting at this time; handlers must not start work after it
+  std::function<bool()> abandoned;  // returns whether the client has closed the connection; may be empty
+  // Returns whether the client still waits for the response.
   [[nodiscard]] auto awaited(monotonic_time now) const -> bool {
     return now < deadline && !(abandoned && abandoned());
   }
 };
 
+// A response with either a JSON body or a plain text.
 struct http_response {
   int status = 200;
   value body;                        // sent as JSON
-  std::string plain;                 // sent as it is in place of the body, if not empty
+  std::string plain;                 // if not empty, sent unchanged instead of `body`
   std::string media = "text/plain";  // content type of `plain`
 };
 
-// Takes the path and the query of a request's target apart, percent-decoded. A part that is not well encoded stays as
-// it is; of a name that is given twice the last value counts.
+// Splits the target of a request into path and query parameters and percent-decodes them. Invalid escape sequences stay
+// unchanged. If a parameter occurs twice, the last value is used.
 auto decode_target(std::string_view target, http_request& request) -> void;
 
-// The HTTP status for an error, by whether it may have run and by its code.
+// Returns the HTTP status for an error. It depends on the outcome, on whether a retry is useful, and on the code.
 [[nodiscard]] auto http_status_for(const request_error& error) -> int;
 
-// The response that reports an error.
+// Returns the response that reports an error.
 [[nodiscard]] auto error_response(int status, const request_error& error) -> http_response;
 
 }  // namespace reachridge
--- a/src/runtime/http_pages.cpp
+++ b/src/runtime/http_pages.cpp
@@ -10,17 +10,18 @@
 namespace {
 
 constexpr auto metric_prefix = "reachridge";
-// A part of the status that is no metric: one row for each pair of nodes.
+// This part of the status is not exported as metrics because it has one row for each pair of nodes.
 constexpr auto omitted_part = std::string_view("beliefs");
 
-// A name that the program chose, as against one that comes from data.
+// Returns whether a field name consists of letters and underscores. The program chooses these names; all other names
+// are data, for example the names of nodes.
 auto is_fixed_name(const std::string& name) -> bool {
   return std::all_of(name.begin(), name.end(), [](unsigned char byte) {
     return std::isalpha(byte) || byte == '_';
   });
 }
 
-// Labels of a metric: the first name that comes from data is `of`, each further one `at`.
+// Appends a label to the labels of a metric. The key of the first label is `of`, the key of each further label is `at`.
 auto add_label(const std::string& labels, const std::string& name) -> std::string {
   const auto* key = labels.empty() ? "of" : "at";
   const auto* separator = labels.empty() ? "" : ",";
@@ -31,7 +32,8 @@
   return name + (labels.empty() ? "" : "{" + labels + "}") + " " + number + "\n";
 }
 
-// Appends the numbers of a status, one a line. Names from data become labels.
+// Appends one line to `out` for each number and boolean in a part of the status. Fixed field names become parts of the
+// metric's name, other field names become labels.
 auto append_metrics(const value& part, const std::string& name, const std::string& labels, std::string& out) -> void {
   if (part.is_bool()) {
     out += metric_line(name, labels, part.get_bool() ? "1" : "0");
--- a/src/runtime/http_server.cpp
+++ b/src/runtime/http_server.cpp
@@ -18,8 +18,8 @@
 using request_parser = http::request_parser<http::string_body>;
 
 constexpr auto max_header_bytes = 16U << 10;
-constexpr auto idle_timeout = 60 * second;  // for a header, and again for a body
-constexpr auto drain_timeout = second / 2;  // for what still comes after the last response
+constexpr auto idle_timeout = 60 * second;  // for the header of a request, and again for its body
+constexpr auto drain_timeout = second / 2;  // for reading and discarding input after the last response
 constexpr auto status_bad_request = 400;
 constexpr auto status_content_too_large = 413;
 constexpr auto status_internal_error = 500;
@@ -35,42 +35,43 @@
   stream.send(http_detail::to_bytes(message));
 }
 
-// The last response on a connection: what came is no request that this server takes.
+// Sends an error response that ends the connection, because the received bytes are not a valid request.
 auto send_final_error(byte_stream& stream, int status, errc code, const std::string& message) -> void {
   send_response(stream, error_response(status, request_error(code, message)), false);
 }
 
 auto new_request_parser() -> std::unique_ptr<request_parser> {
   auto parser = std::make_unique<request_parser>();
-  parser->body_limit(boost::none);  // checked here, so that it can be answered
+  parser->body_limit(boost::none);  // read_body() checks the limit, so that the server can send an error response
   parser->header_limit(max_header_bytes);
   return parser;
 }
 
-// False: the connection ends, and an error was answered if anything was sent that is no HTTP.
+// Reads the header of a request. Returns false if the connection ends; an error response was sent if the received bytes
+// are not valid HTTP.
 auto read_header(host& machine, byte_stream_ptr stream, request_parser& parser) -> task<bool> {
-  auto fault = error_code();
+  auto parse_error = error_code();
   auto has_header = [&parser] {
     return parser.is_header_done();
   };
-  auto parsed = co_await parse_until(*stream, parser, has_header, machine.now() + idle_timeout, fault);
+  auto parsed = co_await parse_until(*stream, parser, has_header, machine.now() + idle_timeout, parse_error);
   if (parsed)
     co_return true;
-  auto ended = fault == http::error::end_of_stream || fault == http::error::partial_message;
-  if (fault && !ended)
-    send_final_error(*stream, status_bad_request, errc::bad_http, fault.message());
+  auto ended = parse_error == http::error::end_of_stream || parse_error == http::error::partial_message;
+  if (parse_error && !ended)
+    send_final_error(*stream, status_bad_request, errc::bad_http, parse_error.message());
   co_return false;
 }
 
-// False: the connection ends, and an error was answered.
+// Reads the body of a request. Returns false if the connection ends; an error response was then sent.
 auto read_body(host& machine, byte_stream_ptr stream, request_parser& parser, std::size_t max_bytes) -> task<bool> {
-  auto fault = error_code();
+  auto parse_error = error_code();
   auto is_complete = [&parser, max_bytes] {
     return parser.is_done() || parser.get().body().size() > max_bytes;
   };
-  auto parsed = co_await parse_until(*stream, parser, is_complete, machine.now() + idle_timeout, fault);
+  auto parsed = co_await parse_until(*stream, parser, is_complete, machine.now() + idle_timeout, parse_error);
   if (!parsed) {
-    auto reason = fault ? fault.message() : "body ends too early";
+    auto reason = parse_error ? parse_error.message() : "body ends too early";
     send_final_error(*stream, status_bad_request, errc::bad_http, reason);
     co_return false;
   }
@@ -82,7 +83,7 @@
   co_return true;
 }
 
-auto request_of(const request_parser& parser) -> http_request {
+auto to_request(const request_parser& parser) -> http_request {
   auto request = http_request();
   request.method = std::string(parser.get().method_string());
   auto target = parser.get().target();
@@ -102,6 +103,7 @@
   }
 }
 
+// Sends the response header of a stream of JSON lines and runs its handler.
 auto serve_stream(byte_stream_ptr stream, const http_handlers& handlers, const http_request& request,
                   std::unique_ptr<request_parser> parser) -> task<void> {
   auto header = http::response<http::empty_body>(http::status::ok, http_detail::http_1_1);
@@ -112,13 +114,13 @@
   co_await handlers.handle_stream(request, lines);
 }
 
-// Serves one request. True: the next may follow on this connection.
+// Serves one request. Returns whether another request may follow on the connection.
 auto serve_request(host& machine, byte_stream_ptr stream, const http_handlers& handlers) -> task<bool> {
   auto parser = new_request_parser();
   auto has_header = co_await read_header(machine, stream, *parser);
   if (!has_header)
     co_return false;
-  auto request = request_of(*parser);
+  auto request = to_request(*parser);
   auto is_stream = handlers.handle_stream && request.path == http_detail::stream_path && request.method == "POST";
   if (is_stream) {
     co_await serve_stream(stream, handlers, request, std::move(parser));
@@ -137,7 +139,8 @@
   co_return keep_alive;
 }
 
-// Drops what still comes, so that the last response is not lost to a reset, and closes.
+// Discards further input for a short time and then closes the stream. Closing a connection with unread input would send
+// a reset, and the client could lose the last response.
 auto drain_and_close(host& machine, byte_stream_ptr stream) -> task<void> {
   auto deadline = machine.now() + drain_timeout;
   while (!stream->closed && machine.now() < deadline) {
--- a/src/runtime/http_stream.hpp
+++ b/src/runtime/http_stream.hpp
@@ -1,4 +1,5 @@
-// Beast's HTTP parsers on our own byte streams, without Asio's I/O (design 3.7). For the HTTP server and client only.
+// Connects the HTTP parsers of Boost.Beast to byte_stream, without the I/O of Asio (design 3.7). Only the HTTP server
+// and the HTTP client include this header.
 #pragma once
 #include <boost/beast/core/buffers_to_string.hpp>
 #include <boost/beast/http/chunk_encode.hpp>
@@ -23,55 +24,56 @@
 namespace asio = boost::asio;
 using boost::beast::error_code;
 
-constexpr auto http_1_1 = 11U;  // as Beast writes the version
+constexpr auto http_1_1 = 11U;  // the encoding of version 1.1 in Beast
 constexpr auto max_line_bytes = std::size_t{1} << 20;
-// The path on which a server takes streams of JSON lines.
+// The path on which a server accepts streams of JSON lines.
 constexpr auto stream_path = "/v1/link";
 
-// Gives the input of a stream to a parser. True: the parser could use it and may use more that is there already.
-// False: it needs more input, or found a fault, which is then left in `fault`.
+// Passes the input of a stream to a parser and removes the parsed bytes. Returns true if the parser consumed bytes and
+// may be able to parse the rest of the input. Returns false if the parser needs more input, or on an error, which is
+// stored in `parse_error`.
 template <class Parser>
-auto parse_input(byte_stream& stream, Parser& parser, error_code& fault) -> bool {
-  auto taken = parser.put(asio::const_buffer(stream.input.data(), stream.input.size()), fault);
-  stream.input.erase(0, taken);
+auto parse_input(byte_stream& stream, Parser& parser, error_code& parse_error) -> bool {
+  auto parsed_bytes = parser.put(asio::const_buffer(stream.input.data(), stream.input.size()), parse_error);
+  stream.input.erase(0, parsed_bytes);
   stream.input_consumed();
-  auto needs_more = fault == http::error::need_more;
+  auto needs_more = parse_error == http::error::need_more;
   if (needs_more)
-    fault = {};
-  return taken > 0 && !needs_more && !fault;
+    parse_error = {};
+  return parsed_bytes > 0 && !needs_more && !parse_error;
 }
 
-// Tells a parser that a stream has ended in the middle of a message.
+// Tells a parser that the stream ended, if it ended in the middle of a message.
 template <class Parser>
-auto end_input(const byte_stream& stream, Parser& parser, error_code& fault) -> void {
-  auto cut_short = stream.closed && !parser.is_done() && parser.got_some();
-  if (cut_short)
-    parser.put_eof(fault);
+auto end_input(const byte_stream& stream, Parser& parser, error_code& parse_error) -> void {
+  auto is_truncated = stream.closed && !parser.is_done() && parser.got_some();
+  if (is_truncated)
+    parser.put_eof(parse_error);
 }
 
-// Feeds a parser from a stream until `enough`. False: the stream ended, time ran out, or what came is no HTTP; then
-// `fault` says why, where the parser knows.
+// Parses the input of a stream until `is_complete` returns true. Returns false if the stream ended, the deadline passed
+// or the input is not valid HTTP. In the last case `parse_error` is set.
 template <class Parser, class Condition>
-auto parse_until(byte_stream& stream, Parser& parser, Condition enough, monotonic_time deadline, error_code& fault)
-    -> task<bool> {
+auto parse_until(byte_stream& stream, Parser& parser, Condition is_complete, monotonic_time deadline,
+                 error_code& parse_error) -> task<bool> {
   while (true) {
-    while (!enough() && !stream.input.empty() && parse_input(stream, parser, fault)) {
+    while (!is_complete() && !stream.input.empty() && parse_input(stream, parser, parse_error)) {
     }
-    if (fault)
+    if (parse_error)
       co_return false;
-    if (enough())
+    if (is_complete())
       co_return true;
     auto open = co_await stream.read_more(deadline);
     if (!open) {
-      end_input(stream, parser, fault);
-      co_return enough();
+      end_input(stream, parser, parse_error);
+      co_return is_complete();
     }
     if (stream.now() >= deadline)
       co_return false;
   }
 }
 
-// The bytes of a message, or of its header alone.
+// Returns the encoded bytes of a message or of a message header.
 template <class Message>
 auto to_bytes(const Message& message) -> std::string {
   auto out = std::ostringstream();
@@ -79,12 +81,13 @@
   return out.str();
 }
 
-// The lines of one connection; `Server`: the side that accepted it, so that requests are parsed.
+// Implements json_lines on one connection. `Server` is true on the accepting side, which parses a request; the client
+// side parses a response.
 template <bool Server>
 class http_json_lines : public json_lines {
  public:
   using parser = http::parser<Server, http::string_body>;
-  // The parser has read the header of the other side's message, and perhaps a part of its body.
+  // `body_parser` has already parsed the header of the peer's message, and possibly a part of the body.
   http_json_lines(byte_stream_ptr stream, std::unique_ptr<parser> body_parser)
       : stream_(std::move(stream)), parser_(std::move(body_parser)) {}
 
@@ -100,11 +103,11 @@
         throw request_error(errc::message_too_long, "a line over " + std::to_string(max_line_bytes) + " bytes");
       if (parser_->is_done())
         co_return std::nullopt;
-      auto fault = error_code();
+      auto parse_error = error_code();
       auto has_more = [this] {
         return !parser_->get().body().empty() || parser_->is_done();
       };
-      auto parsed = co_await parse_until(*stream_, *parser_, has_more, until, fault);
+      auto parsed = co_await parse_until(*stream_, *parser_, has_more, until, parse_error);
       if (!parsed)
         co_return std::nullopt;
     }
@@ -125,11 +128,14 @@
   }
 
  private:
+  // Moves the parsed part of the body to the buffer.
   auto take_parsed_body() -> void {
     auto& body = parser_->get().body();
     buffer_ += body;
     body.clear();
   }
+  // Removes the first line from the buffer and returns it without its end. Returns nullopt if the buffer holds no
+  // complete line or the line exceeds the size limit.
   auto take_line() -> std::optional<std::string> {
     auto length = buffer_.find('\n');
     if (length == std::string::npos || length > max_line_bytes)
@@ -141,7 +147,7 @@
 
   byte_stream_ptr stream_;
   std::unique_ptr<parser> parser_;
-  std::string buffer_;  // received, without the lines that were given out
+  std::string buffer_;  // received bytes of the body that next() has not returned yet
 };
 
 }  // namespace reachridge::http_detail
--- a/src/runtime/request_error.cpp
+++ b/src/runtime/request_error.cpp
@@ -12,7 +12,7 @@
   std::string_view text;
 };
 
-// The one place that knows the codes' texts.
+// The texts of the error codes on the wire. Other processes and clients match these texts.
 constexpr auto code_names = std::to_array<code_name>({
     {errc::malformed, "malformed"},
     {errc::not_found, "not_found"},
@@ -68,45 +68,45 @@
 
 auto outcome_text(execution_outcome outcome) -> std::string_view {
   return std::find_if(outcome_texts.begin(), outcome_texts.end(),
-                      [&](const auto& row) {
-                        return row.first == outcome;
+                      [&](const auto& entry) {
+                        return entry.first == outcome;
                       })
       ->second;
 }
 
-// An outcome that is not named is unknown.
+// Returns execution_outcome::unknown for a text that this release does not know.
 auto parse_outcome(std::string_view text) -> execution_outcome {
-  const auto* row = std::find_if(outcome_texts.begin(), outcome_texts.end(), [&](const auto& one) {
-    return one.second == text;
+  const auto* found = std::find_if(outcome_texts.begin(), outcome_texts.end(), [&](const auto& entry) {
+    return entry.second == text;
   });
-  return row == outcome_texts.end() ? execution_outcome::unknown : row->first;
+  return found == outcome_texts.end() ? execution_outcome::unknown : found->first;
 }
 
 }  // namespace
 
 auto to_string(errc code) -> std::string_view {
-  const auto* row = std::find_if(code_names.begin(), code_names.end(), [&](const code_name& one) {
-    return one.code == code;
+  const auto* found = std::find_if(code_names.begin(), code_names.end(), [&](const code_name& entry) {
+    return entry.code == code;
   });
-  return row == code_names.end() ? to_string(errc::internal) : row->text;
+  return found == code_names.end() ? to_string(errc::internal) : found->text;
 }
 
 auto parse_errc(std::string_view text) -> std::optional<errc> {
-  const auto* row = std::find_if(code_names.begin(), code_names.end(), [&](const code_name& one) {
-    return one.text == text;
+  const auto* found = std::find_if(code_names.begin(), code_names.end(), [&](const code_name& entry) {
+    return entry.text == text;
   });
-  if (row == code_names.end())
+  if (found == code_names.end())
     return {};
-  return row->code;
+  return found->code;
 }
 
-request_error::request_error(errc what, std::string text, execution_outcome ran, std::int64_t retry_after,
-                             value particulars)
-    : code(what),
+request_error::request_error(errc reason, std::string text, execution_outcome executed, std::int64_t retry_after,
+                             value additional_fields)
+    : code(reason),
       message(std::move(text)),
-      outcome(ran),
+      outcome(executed),
       retry_after_ms(retry_after),
-      details(std::move(particulars)) {}
+      details(std::move(additional_fields)) {}
 
 auto request_error::code_text() const -> std::string {
   return code == errc::unrecognized ? unrecognized_code_ : std::string(to_string(code));
@@ -121,11 +121,11 @@
   return out;
 }
 
-auto request_error::from_value(const value& sent) -> request_error {
-  auto text = get_string_or(sent, "code", to_string(errc::internal));
-  auto out = request_error(parse_errc(text).value_or(errc::unrecognized), get_string_or(sent, "why"),
-                           parse_outcome(get_string_or(sent, "verdict")), get_int_or(sent, "retry_ms", -1),
-                           get_value(sent, "more"));
+auto request_error::from_value(const value& encoded) -> request_error {
+  auto text = get_string_or(encoded, "code", to_string(errc::internal));
+  auto out = request_error(parse_errc(text).value_or(errc::unrecognized), get_string_or(encoded, "why"),
+                           parse_outcome(get_string_or(encoded, "verdict")), get_int_or(encoded, "retry_ms", -1),
+                           get_value(encoded, "more"));
   if (out.code == errc::unrecognized)
     out.unrecognized_code_ = text;
   return out;
--- a/src/runtime/settings.cpp
+++ b/src/runtime/settings.cpp
@@ -11,9 +11,11 @@
 
 using setting_values = std::map<std::string, std::string>;
 
-// A peer is not lost before it has missed so many heartbeats.
+// The minimum number of heartbeat intervals in the failure timeout. A peer is not lost before it has missed this number
+// of heartbeats.
 constexpr auto min_heartbeats_per_timeout = 4;
 
+// Checks the values, assigns them to `target`, and reports unknown keys.
 auto assign_values(setting_values values, settings& target, std::vector<setting_error>& errors) -> void {
   for (const auto& key : setting_keys()) {
     auto given = values.find(key.name);
@@ -28,7 +30,8 @@
     errors.push_back({key, "is no key of the settings"});
 }
 
-// A key whose value was refused is not reported as missing too.
+// Reports the required keys that are missing. A key whose value is invalid already has an error and is not reported
+// again.
 auto check_required(const settings& read, const required_settings& required, std::vector<setting_error>& errors)
     -> void {
   auto require = [&errors](bool is_required, bool is_missing, const char* key) {
@@ -47,7 +50,8 @@
   require(true, read.seeds.empty(), "seeds");
 }
 
-auto check_together(const settings& read, std::vector<setting_error>& errors) -> void {
+// Reports settings whose values contradict each other.
+auto check_consistency(const settings& read, std::vector<setting_error>& errors) -> void {
   if (read.heartbeat_interval * min_heartbeats_per_timeout > read.failure_timeout)
     errors.push_back({"beat_ms", "must be at most a quarter of lose_ms"});
   if (read.drain_time > read.shutdown_timeout)
@@ -70,7 +74,7 @@
     values[key] = given;
   assign_values(std::move(values), read, errors);
   check_required(read, required, errors);
-  check_together(read, errors);
+  check_consistency(read, errors);
   return read;
 }
 
--- a/src/runtime/settings_file.hpp
+++ b/src/runtime/settings_file.hpp
@@ -1,4 +1,4 @@
-// The settings file: Boost.PropertyTree's INFO form, one key and its value a line (design 3.6).
+// The settings file. It has the INFO format of Boost.PropertyTree with one key and its value per line (design 3.6).
 #pragma once
 #include <map>
 #include <optional>
@@ -9,8 +9,9 @@
 
 namespace reachridge {
 
-// The values of a settings file by key. A key with an error is named in `errors` and left out, or given its first
-// value. None: the file cannot be read or does not have that form; the error then names the line.
+// Returns the values of a settings file by key. Appends an error for each key with a nested block, which is left out,
+// and for each repeated key, which keeps its first value. If the file cannot be read or parsed, appends an error with
+// the line number and returns nullopt.
 auto read_settings_file(const std::string& file, std::vector<setting_error>& errors)
     -> std::optional<std::map<std::string, std::string>>;
 
--- a/src/runtime/settings_keys.cpp
+++ b/src/runtime/settings_keys.cpp
@@ -16,7 +16,8 @@
 constexpr auto max_seeds = std::size_t{3};
 constexpr auto max_port = 65535;
 
-// Returns what is wrong with the text; empty: its number is in `number`.
+// Parses a whole number from `low` to `high`. Returns an error message, or an empty string after it has stored the
+// number in `number`.
 auto parse_whole_number(const std::string& text, std::int64_t low, std::int64_t high, std::int64_t& number)
     -> std::string {
   auto parsed = std::int64_t{0};
@@ -30,7 +31,7 @@
   return {};
 }
 
-// A number between bounds, in units of which the field counts `unit` each.
+// Returns the check of a number from `low` to `high`. The field is set to the number multiplied by `unit`.
 auto number_setting(std::int64_t settings::*field, std::int64_t low, std::int64_t high, std::int64_t unit = 1) {
   return [=](settings& target, const std::string& text) {
     auto number = std::int64_t{0};
--- a/src/runtime/settings_keys.hpp
+++ b/src/runtime/settings_keys.hpp
@@ -1,4 +1,4 @@
-// The table of settings: the name of each key, its help text and its check.
+// The table of settings with the name, the help text and the check of each key.
 #pragma once
 #include <functional>
 #include <string>
@@ -8,14 +8,15 @@
 
 namespace reachridge {
 
+// A key of the settings.
 struct setting_key {
-  const char* name;  // in the file, and as a flag behind --
+  const char* name;  // the key in the settings file; the flag is `--` and this name
   const char* help;
-  // Checks a value and takes it into the settings. Returns what is wrong with it; empty: it was taken.
+  // Checks a value and assigns it to the settings. Returns an error message, or an empty string if the value is valid.
   std::function<std::string(settings&, const std::string&)> assign;
 };
 
-// All keys, in the order in which their errors are reported.
+// Returns all keys in the order in which their errors are reported.
 auto setting_keys() -> const std::vector<setting_key>&;
 
 }  // namespace reachridge
