--- a/src/rpc/frame.cpp
+++ b/src/rpc/frame.cpp
@@ -48,12 +48,12 @@
     return {};
   auto length = decode_length(available);
   if (length > max_frame_bytes)
-    throw decode_error("a frame of " + std::to_string(length) + " bytes");
+    throw decode_error("frame body exceeds the size limit: " + std::to_string(length) + " bytes");
   if (available.size() < length_bytes + length)
     return {};
   auto body = decode_cbor(available.substr(length_bytes, length));
   if (!body.is_object())
-    throw decode_error("a frame that is no map");
+    throw decode_error("frame body is not a map");
   offset += length_bytes + length;
   return body;
 }
--- a/src/rpc/peer_connection.cpp
+++ b/src/rpc/peer_connection.cpp
@@ -187,7 +187,7 @@
 
 auto peer_connection::call(value body, monotonic_time deadline) -> task<value> {
   if (!can_send())
-    throw request_error(errc::unreachable, options_.address + " is not reached", execution_outcome::not_executed,
+    throw request_error(errc::unreachable, options_.address + " is not connected", execution_outcome::not_executed,
                         retry_after_ms());
   auto id = ++last_call_id_;
   auto pending = std::make_shared<pending_call>();
@@ -201,8 +201,9 @@
   }
   pending_calls_.erase(id);
   if (!pending->reply)
-    throw request_error(errc::unclear, options_.address + " did not answer", execution_outcome::unknown,
-                        retry_after_ms());
+    throw request_error(errc::unclear,
+                        options_.address + " did not reply: the deadline passed or the connection was lost",
+                        execution_outcome::unknown, retry_after_ms());
   co_return decode_reply_result(*pending->reply);
 }
 
--- a/src/rpc/relay.cpp
+++ b/src/rpc/relay.cpp
@@ -35,7 +35,7 @@
   auto target = co_await machine.connect(address, machine.now() + connect_timeout);
   if (!target)
     co_return stream->close();
-  log(log_level::info, own_name, "relays " + stream->remote_address + " to " + address);
+  log(log_level::info, own_name, "relaying the connection from " + stream->remote_address + " to " + address);
   tasks.spawn(copy_bytes(target, stream));
   co_await copy_bytes(stream, target);
 }
--- a/src/rpc/server.cpp
+++ b/src/rpc/server.cpp
@@ -71,7 +71,7 @@
 auto sweep_connection(const server_state& server, connection& peer) -> void {
   ++peer.silent_sweeps;
   if (peer.silent_sweeps >= max_silent_sweeps) {
-    log(log_level::info, server.own_name, peer.peer_name + " has been silent for long, its link ends");
+    log(log_level::info, server.own_name, peer.peer_name + " did not reply to heartbeats, closing its connection");
     peer.close();
   } else if (peer.silent_sweeps >= heartbeat_after_silent_sweeps) {
     peer.send(encode(heartbeat_message{server.machine.now()}));
--- a/src/runtime/command_line.cpp
+++ b/src/runtime/command_line.cpp
@@ -54,7 +54,7 @@
   if (auto error = poptGetNextOpt(context.get()); error < -1)
     flags.errors.push_back({poptBadOption(context.get(), 0), poptStrerror(error)});
   if (const auto* argument = poptGetArg(context.get()))
-    flags.errors.push_back({argument, "is no flag"});
+    flags.errors.push_back({argument, "is not a flag"});
   flags.file = take_text(texts[0]).value_or("");
   const auto& keys = setting_keys();
   for (auto i = std::size_t{0}; i < keys.size(); ++i)
--- a/src/runtime/daemon.cpp
+++ b/src/runtime/daemon.cpp
@@ -47,7 +47,7 @@
     try {
       std::rethrow_exception(thrown);
     } catch (const std::exception& error) {
-      log(log_level::error, name, std::string("task ended: ") + error.what());
+      log(log_level::error, name, std::string("background task failed: ") + error.what());
     }
   };
 }
--- a/src/runtime/http_server.cpp
+++ b/src/runtime/http_server.cpp
@@ -71,12 +71,13 @@
   };
   auto parsed = co_await parse_until(*stream, parser, is_complete, machine.now() + idle_timeout, parse_error);
   if (!parsed) {
-    auto reason = parse_error ? parse_error.message() : "body ends too early";
+    auto reason =
+        parse_error ? parse_error.message() : "request body is incomplete: the connection ended or the timeout passed";
     send_final_error(*stream, status_bad_request, errc::bad_http, reason);
     co_return false;
   }
   if (!parser.is_done()) {
-    auto reason = "a body over " + std::to_string(max_bytes) + " bytes";
+    auto reason = "request body exceeds " + std::to_string(max_bytes) + " bytes";
     send_final_error(*stream, status_content_too_large, errc::message_too_long, reason);
     co_return false;
   }
--- a/src/runtime/http_stream.hpp
+++ b/src/runtime/http_stream.hpp
@@ -100,7 +100,7 @@
         co_return line;
       }
       if (buffer_.size() > max_line_bytes)
-        throw request_error(errc::message_too_long, "a line over " + std::to_string(max_line_bytes) + " bytes");
+        throw request_error(errc::message_too_long, "line exceeds " + std::to_string(max_line_bytes) + " bytes");
       if (parser_->is_done())
         co_return std::nullopt;
       auto parse_error = error_code();
--- a/src/runtime/settings.cpp
+++ b/src/runtime/settings.cpp
@@ -27,7 +27,7 @@
     values.erase(given);
   }
   for (const auto& [key, unused] : values)
-    errors.push_back({key, "is no key of the settings"});
+    errors.push_back({key, "is not a known setting"});
 }
 
 // Reports the required keys that are missing. A key whose value is invalid already has an error and is not reported
--- a/src/runtime/settings_file.cpp
+++ b/src/runtime/settings_file.cpp
@@ -17,9 +17,9 @@
   auto values = std::map<std::string, std::string>();
   for (const auto& [key, node] : parsed) {
     if (!node.empty()) {
-      errors.push_back({key, "holds a block, wants a value"});
+      errors.push_back({key, "has a nested block instead of a value"});
     } else if (!values.emplace(key, node.data()).second) {
-      errors.push_back({key, "is given twice"});
+      errors.push_back({key, "is set more than once"});
     }
   }
   return values;
--- a/src/runtime/settings_keys.cpp
+++ b/src/runtime/settings_keys.cpp
@@ -24,9 +24,9 @@
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), parsed);
   auto is_whole_number = error == std::errc() && end == text.data() + text.size();
   if (!is_whole_number)
-    return "'" + text + "' is no whole number";
+    return "'" + text + "' is not a whole number";
   if (parsed < low || parsed > high)
-    return text + " is outside " + std::to_string(low) + " to " + std::to_string(high);
+    return text + " is outside the range " + std::to_string(low) + " to " + std::to_string(high);
   number = parsed;
   return {};
 }
@@ -50,9 +50,9 @@
 auto name_setting(std::string settings::*field) {
   return [=](settings& target, const std::string& text) -> std::string {
     if (text.empty() || text.size() > max_name_length)
-      return "wants 1 to 64 characters";
+      return "must have 1 to 64 characters";
     if (!std::all_of(text.begin(), text.end(), is_name_character))
-      return "'" + text + "' has a character other than letters, digits, '-', '_', '.'";
+      return "'" + text + "' contains a character other than letters, digits, '-', '_' and '.'";
     target.*field = text;
     return {};
   };
@@ -61,7 +61,7 @@
 auto address_setting(std::string settings::*field) {
   return [=](settings& target, const std::string& text) -> std::string {
     if (!is_address(text))
-      return "'" + text + "' is no IP:PORT";
+      return "'" + text + "' is not an address of the form IP:PORT";
     target.*field = text;
     return {};
   };
@@ -89,12 +89,12 @@
   if (text.empty())
     addresses.clear();
   if (addresses.empty() || addresses.size() > max_seeds)
-    return "wants one to three addresses, has " + std::to_string(addresses.size());
+    return "must have one to three addresses, has " + std::to_string(addresses.size());
   for (const auto& address : addresses)
     if (!is_address(address))
-      return "'" + address + "' is no IP:PORT";
+      return "'" + address + "' is not an address of the form IP:PORT";
   if (std::set<std::string>(addresses.begin(), addresses.end()).size() != addresses.size())
-    return "repeats an address";
+    return "contains an address more than once";
   target.seeds = addresses;
   return {};
 }
@@ -103,43 +103,44 @@
 
 auto setting_keys() -> const std::vector<setting_key>& {
   static const auto keys = std::vector<setting_key>{
-      {"name", "this process's name, unlike any other's", name_setting(&settings::name)},
-      {"zone", "the zone it runs in", name_setting(&settings::zone)},
+      {"name", "unique name of this process", name_setting(&settings::name)},
+      {"zone", "zone in which this process runs", name_setting(&settings::zone)},
       {"addr", "IP:PORT for peers", address_setting(&settings::address)},
       {"web", "IP:PORT for clients and operators (HTTP)", address_setting(&settings::http_address)},
       {"feed", "loopback IP:PORT between agent and gateway", address_setting(&settings::feed_address)},
-      {"data", "the data folder", assign_data_directory},
-      {"seeds", "one to three IP:PORT of control nodes, with commas between", assign_seeds},
-      {"beat_ms", "between heartbeats", number_setting(&settings::heartbeat_interval, 10, 5000, millisecond)},
-      {"lose_ms", "silence after which a peer counts as lost",
+      {"data", "data directory", assign_data_directory},
+      {"seeds", "one to three IP:PORT of control nodes, separated by commas", assign_seeds},
+      {"beat_ms", "time between heartbeats", number_setting(&settings::heartbeat_interval, 10, 5000, millisecond)},
+      {"lose_ms", "time without a message after which a peer counts as lost",
        number_setting(&settings::failure_timeout, 100, 60000, millisecond)},
-      {"lease_ms", "how long a configuration lease lasts",
+      {"lease_ms", "duration of a configuration lease",
        number_setting(&settings::lease_duration, 100, 60000, millisecond)},
-      {"budget_ms", "for one request inside the system",
+      {"budget_ms", "timeout of one request inside the system",
        number_setting(&settings::request_timeout, 50, 60000, millisecond)},
-      {"resend_s", "repeats of a publish are known at least so long",
+      {"resend_s", "minimum time for which a repeated publish is recognized",
        number_setting(&settings::resend_window, 1, 3600, second)},
       {"lag_ms", "replay lag above which a primary is slowed",
        number_setting(&settings::lag_limit, 10, 60000, millisecond)},
-      {"body_bytes", "most bytes of one message", number_setting(&settings::max_message_bytes, 64, 1 << 20)},
-      {"buffer_bytes", "most bytes of one log buffer or slow reader",
+      {"body_bytes", "maximum size of one message", number_setting(&settings::max_message_bytes, 64, 1 << 20)},
+      {"buffer_bytes", "maximum size of one log buffer, or of the queue for one slow reader",
        number_setting(&settings::buffer_bytes, 4096, 1 << 28)},
-      {"copies", "of a partition that keeps messages: the disks that may be lost at once, and one",
+      {"copies", "replicas of a partition that keeps messages: one more than the disks that may be lost at once",
        number_setting(&settings::replicas, 2, 7)},
-      {"links_most", "most client connections", number_setting(&settings::max_clients, 1, 100000)},
-      {"drain_ms", "what a leaving gateway leaves its clients to end what is under way",
+      {"links_most", "maximum number of client connections", number_setting(&settings::max_clients, 1, 100000)},
+      {"drain_ms", "time that a gateway gives its clients to finish requests when it shuts down",
        number_setting(&settings::drain_time, 0, 60000, millisecond)},
-      {"grace_ms", "from SIGTERM to the process's end, at most",
+      {"grace_ms", "maximum time from SIGTERM to the end of the process",
        number_setting(&settings::shutdown_timeout, 100, 600000, millisecond)},
-      {"presence_ms", "a count of subscribers is at most so old",
+      {"presence_ms", "maximum age of a subscriber count",
        number_setting(&settings::subscriber_count_age, 100, 600000, millisecond)},
-      {"keepalive_ms", "a client silent for three times as long may be let go",
+      {"keepalive_ms", "a client that is silent for three times this time may be disconnected",
        number_setting(&settings::keepalive_interval, 100, 600000, millisecond)},
-      {"found", "a blank disk may begin a new replicated log: yes or no", flag_setting(&settings::may_bootstrap)},
-      {"slowing", "gradual slowing of a primary whose backup lags: yes or no", flag_setting(&settings::slow_for_lag)},
-      {"drag_us", "replay time added to each entry, to try a slow backup",
+      {"found", "a process with an empty disk may bootstrap a new replicated log: yes or no",
+       flag_setting(&settings::may_bootstrap)},
+      {"slowing", "slow a primary gradually if a backup lags: yes or no", flag_setting(&settings::slow_for_lag)},
+      {"drag_us", "additional replay time of each entry, for tests with a slow backup",
        number_setting(&settings::replay_delay, 0, 1000000)},
-      {"echo", "log lines to stderr too: yes or no", flag_setting(&settings::log_to_stderr)},
+      {"echo", "write log lines to stderr too: yes or no", flag_setting(&settings::log_to_stderr)},
   };
   return keys;
 }
