--- a/src/runtime/cbor.cpp
+++ b/src/runtime/cbor.cpp
@@ -1,4 +1,4 @@
-// The CBOR codec of values, on libcbor.
+// The CBOR codec for values, based on libcbor.
 #include <cbor.h>
 
 #include <array>
@@ -12,12 +12,12 @@
 namespace reachridge {
 namespace {
 
-constexpr auto max_depth = 24U;       // arrays and maps within each other
-constexpr auto max_head_bytes = 16U;  // of one item of CBOR, without the bytes of a string
+constexpr auto max_depth = 24U;       // of nested arrays and maps
+constexpr auto max_head_bytes = 16U;  // of the head of a CBOR item; a string has its bytes after the head
 constexpr auto checksum_bytes = 4U;
 constexpr auto byte_bits = 8U;
 
-// Appends values to a string of CBOR.
+// Encodes values as CBOR into a string.
 class cbor_writer {
  public:
   auto write(const value& item) -> void {
@@ -41,13 +41,13 @@
     }
   }
   auto take() -> std::string {
-    return std::move(out_);
+    return std::move(output_);
   }
 
  private:
-  // Appends what was encoded into the head.
+  // Appends the first `size` bytes of `head_` to the output.
   auto append(std::size_t size) -> void {
-    out_.append(reinterpret_cast<const char*>(head_.data()), size);
+    output_.append(reinterpret_cast<const char*>(head_.data()), size);
   }
 
   auto write_integer(std::int64_t number) -> void {
@@ -57,7 +57,7 @@
   }
   auto write_string(boost::json::string_view text) -> void {
     append(cbor_encode_string_start(text.size(), head_.data(), head_.size()));
-    out_.append(text.data(), text.size());
+    output_.append(text.data(), text.size());
   }
   auto write_array(const array& items) -> void {
     append(cbor_encode_array_start(items.size(), head_.data(), head_.size()));
@@ -73,33 +73,33 @@
   }
 
   std::array<unsigned char, max_head_bytes> head_{};
-  std::string out_;
+  std::string output_;
 };
 
-// Builds a value from libcbor's stream of events. The first error stays until `take`.
+// Builds a value from the callbacks of libcbor's streaming decoder. The caller must check `error` after each callback.
 class value_builder {
  public:
-  // One item: the root, an element of an array, or the key or the value of a field.
+  // Adds a scalar item: the root value, an element of an array, or the key or the value of a map field.
   auto add(value item) -> void {
     insert(std::move(item));
   }
 
-  // An array or a map begins, with that many elements or fields to follow.
-  auto open(value container, std::size_t size) -> void {
-    if (path_.size() >= max_depth)
+  // Begins an array of `size` elements or a map of `size` fields. The following items become its elements or fields.
+  auto begin_container(value container, std::size_t size) -> void {
+    if (open_containers_.size() >= max_depth)
       return fail("nested too deep");
     auto is_map = container.is_object();
     auto* inserted = insert(std::move(container));
     if (!inserted && error_.empty())
       return fail("a container as key");
     if (inserted && size)
-      path_.push_back({inserted, size, is_map, {}, false});
+      open_containers_.push_back({inserted, size, is_map, {}, false});
   }
 
-  // To be called after each event.
-  auto close_complete() -> void {
-    while (!path_.empty() && path_.back().is_complete())
-      path_.pop_back();
+  // Ends the containers that have all their items. Must be called after each callback.
+  auto end_complete_containers() -> void {
+    while (!open_containers_.empty() && open_containers_.back().is_complete())
+      open_containers_.pop_back();
   }
 
   auto fail(const char* message) -> void {
@@ -109,30 +109,30 @@
     return error_;
   }
   [[nodiscard]] auto is_complete() const -> bool {
-    return has_root_ && path_.empty();
+    return has_root_ && open_containers_.empty();
   }
   auto take() -> value {
     return std::move(root_);
   }
 
  private:
-  // An array or a map that lacks items.
-  struct level {
+  // An array or a map that is not complete yet.
+  struct open_container {
     value* container;
-    std::size_t missing;  // elements or fields
+    std::size_t remaining;  // number of elements or fields to follow
     bool is_map;
-    std::string key;  // of the field whose value comes next
+    std::string key;  // key of the field whose value comes next
     bool has_key;
     [[nodiscard]] auto is_complete() const -> bool {
-      return missing == 0 && !has_key;
+      return remaining == 0 && !has_key;
     }
   };
 
-  // Where the item is now; null if it was a key, or on an error.
+  // Adds an item and returns its address in the tree. Returns null if the item is a map key or an error occurred.
   auto insert(value item) -> value* {
-    if (path_.empty())
+    if (open_containers_.empty())
       return insert_root(std::move(item));
-    auto& top = path_.back();
+    auto& top = open_containers_.back();
     if (!top.is_map)
       return insert_element(top, std::move(item));
     if (top.has_key)
@@ -149,21 +149,21 @@
     has_root_ = true;
     return &root_;
   }
-  auto insert_element(level& top, value item) -> value* {
-    --top.missing;
+  auto insert_element(open_container& top, value item) -> value* {
+    --top.remaining;
     auto& elements = top.container->get_array();
     elements.push_back(std::move(item));
     return &elements.back();
   }
-  auto set_key(level& top, const value& item) -> void {
+  auto set_key(open_container& top, const value& item) -> void {
     if (!item.is_string())
       return fail("a key that is no string");
     top.key = std::string(item.get_string());
     top.has_key = true;
   }
-  auto insert_field(level& top, value item) -> value* {
+  auto insert_field(open_container& top, value item) -> value* {
     top.has_key = false;
-    --top.missing;
+    --top.remaining;
     auto [field, inserted] = top.container->get_object().emplace(top.key, std::move(item));
     if (!inserted)
       fail("a repeated key");
@@ -172,7 +172,7 @@
 
   value root_;
   bool has_root_ = false;
-  std::vector<level> path_;  // from the root to the innermost one
+  std::vector<open_container> open_containers_;  // from the outermost to the innermost
   std::string error_;
 };
 
@@ -180,6 +180,7 @@
   return *static_cast<value_builder*>(context);
 }
 
+// Adds an unsigned number. JSON values hold it as a signed number if it is in range.
 auto add_unsigned(void* context, std::uint64_t number) -> void {
   if (number <= INT64_MAX) {
     builder_of(context).add(static_cast<std::int64_t>(number));
@@ -188,7 +189,7 @@
   }
 }
 
-// CBOR holds a negative number n as -1 - n.
+// CBOR encodes a negative number n as the unsigned number -1 - n.
 auto add_negative(void* context, std::uint64_t number) -> void {
   if (number <= INT64_MAX) {
     builder_of(context).add(-1 - static_cast<std::int64_t>(number));
@@ -197,7 +198,7 @@
   }
 }
 
-// The callbacks for what `encode_cbor` produces.
+// Sets the callbacks for the CBOR types that `encode_cbor` produces.
 auto set_value_callbacks(cbor_callbacks& callbacks) -> void {
   callbacks.uint8 = [](void* context, std::uint8_t number) {
     add_unsigned(context, number);
@@ -223,10 +224,10 @@
     builder_of(context).add(value(boost::json::string_view(reinterpret_cast<const char*>(bytes), size)));
   };
   callbacks.array_start = [](void* context, std::size_t size) {
-    builder_of(context).open(array{}, size);
+    builder_of(context).begin_container(array{}, size);
   };
   callbacks.map_start = [](void* context, std::size_t size) {
-    builder_of(context).open(object{}, size);
+    builder_of(context).begin_container(object{}, size);
   };
   callbacks.null = [](void* context) {
     builder_of(context).add(nullptr);
@@ -239,7 +240,7 @@
   };
 }
 
-// The callbacks for all else that is CBOR: each is an error.
+// Sets the callbacks for all other CBOR types. Each of them reports an error.
 auto set_error_callbacks(cbor_callbacks& callbacks) -> void {
   callbacks.byte_string = [](void* context, cbor_data, std::size_t) {
     builder_of(context).fail("a byte string");
@@ -304,7 +305,7 @@
     if (!builder.error().empty())
       throw decode_error(builder.error());
     bytes.remove_prefix(item.read);
-    builder.close_complete();
+    builder.end_complete_containers();
   }
   if (!builder.is_complete())
     throw decode_error("bytes end too early");
--- a/src/runtime/durable_env.cpp
+++ b/src/runtime/durable_env.cpp
@@ -12,9 +12,9 @@
 namespace reachridge {
 namespace {
 
-constexpr auto log_ending = ".log";
+constexpr auto log_extension = ".log";
 
-auto folder_of(const std::string& file) -> std::string {
+auto parent_folder(const std::string& file) -> std::string {
   return std::filesystem::path(file).parent_path().string();
 }
 
@@ -28,12 +28,12 @@
 }
 
 auto durable_env::NewWritableFile(const std::string& name, leveldb::WritableFile** out) -> leveldb::Status {
-  auto made = target()->NewWritableFile(name, out);
-  if (!made.ok() || !name.ends_with(log_ending))
-    return made;
-  auto synced = sync_names_(folder_of(name));
+  auto created = target()->NewWritableFile(name, out);
+  if (!created.ok() || !name.ends_with(log_extension))
+    return created;
+  auto synced = sync_folder_(parent_folder(name));
   if (!synced.ok()) {
-    delete *out;  // as LevelDB's interface hands it over
+    delete *out;  // the caller does not take ownership of the file if the call fails
     *out = nullptr;
   }
   return synced;
@@ -41,7 +41,7 @@
 
 auto durable_env::RenameFile(const std::string& from, const std::string& to) -> leveldb::Status {
   auto renamed = target()->RenameFile(from, to);
-  return renamed.ok() ? sync_names_(folder_of(to)) : renamed;
+  return renamed.ok() ? sync_folder_(parent_folder(to)) : renamed;
 }
 
 }  // namespace reachridge
--- a/src/runtime/durable_env_test.cpp
+++ b/src/runtime/durable_env_test.cpp
@@ -8,7 +8,7 @@
 
 #include "runtime/scratch_folder.hpp"
 
-// After all others: it redefines new.
+// Must be the last include, because CppUTest redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 using namespace reachridge;
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr auto value_bytes = std::size_t{64} << 10;
-constexpr auto values = 160;  // more than one write buffer of LevelDB: a new log begins
+constexpr auto values = 160;  // together larger than a write buffer of LevelDB, so that LevelDB starts a new log
 
 auto open(leveldb::Env& env, const std::string& folder) -> std::unique_ptr<leveldb::DB> {
   auto options = leveldb::Options();
@@ -27,58 +27,59 @@
   return std::unique_ptr<leveldb::DB>(opened.ok() ? raw : nullptr);
 }
 
-auto put_synced(leveldb::DB& db, int number) -> leveldb::Status {
+auto put_synced(leveldb::DB& db, int index) -> leveldb::Status {
   auto options = leveldb::WriteOptions();
   options.sync = true;
-  return db.Put(options, "key " + std::to_string(number), std::string(value_bytes, 'x'));
+  return db.Put(options, "key " + std::to_string(index), std::string(value_bytes, 'x'));
 }
 
-// The logs that stand in a folder.
-auto logs_in(const std::string& folder) -> std::vector<std::string> {
-  auto out = std::vector<std::string>();
+// Returns the names of the log files in a folder.
+auto log_files_in(const std::string& folder) -> std::vector<std::string> {
+  auto names = std::vector<std::string>();
   for (const auto& entry : std::filesystem::directory_iterator(folder))
     if (entry.path().extension() == ".log")
-      out.push_back(entry.path().filename().string());
-  return out;
+      names.push_back(entry.path().filename().string());
+  return names;
 }
 
 }  // namespace
 
 TEST_GROUP(durable_names){};
 
-// After each write: every log that has bytes was there when the folder was last synced.
-TEST(durable_names, a_new_log_is_named_durably_before_its_first_batch) {
+// After each write, every log file in the folder must have existed at the last sync of the folder. Otherwise a loss of
+// power could remove a log file that contains synced batches.
+TEST(durable_names, the_folder_is_synced_before_the_first_batch_of_a_new_log) {
   auto folder = scratch_folder();
-  auto durable = std::vector<std::string>();
+  auto synced_logs = std::vector<std::string>();
   auto env = durable_env(leveldb::Env::Default(), [&](const std::string& path) {
-    durable = logs_in(path);
+    synced_logs = log_files_in(path);
     return sync_folder(path);
   });
   auto db = open(env, folder.path());
   CHECK(db != nullptr);
-  auto first = logs_in(folder.path());
-  auto began_anew = false;
-  for (auto number = 0; number < values; ++number) {
-    CHECK(put_synced(*db, number).ok());
-    for (const auto& log : logs_in(folder.path())) {
-      began_anew = began_anew || std::find(first.begin(), first.end(), log) == first.end();
-      CHECK(std::find(durable.begin(), durable.end(), log) != durable.end());
+  auto initial_logs = log_files_in(folder.path());
+  auto new_log_seen = false;
+  for (auto index = 0; index < values; ++index) {
+    CHECK(put_synced(*db, index).ok());
+    for (const auto& log : log_files_in(folder.path())) {
+      new_log_seen = new_log_seen || std::find(initial_logs.begin(), initial_logs.end(), log) == initial_logs.end();
+      CHECK(std::find(synced_logs.begin(), synced_logs.end(), log) != synced_logs.end());
     }
   }
-  CHECK(began_anew);
+  CHECK(new_log_seen);
 }
 
-TEST(durable_names, a_folder_that_cannot_be_synced_fails_the_write) {
+TEST(durable_names, a_failed_folder_sync_fails_the_write) {
   auto folder = scratch_folder();
-  auto works = true;
+  auto sync_succeeds = true;
   auto env = durable_env(leveldb::Env::Default(), [&](const std::string& path) {
-    return works ? sync_folder(path) : leveldb::Status::IOError(path, "for the test");
+    return sync_succeeds ? sync_folder(path) : leveldb::Status::IOError(path, "for the test");
   });
   auto db = open(env, folder.path());
   CHECK(db != nullptr);
-  works = false;
-  auto failed = 0;
-  for (auto number = 0; number < values; ++number)
-    failed += !put_synced(*db, number).ok();
-  CHECK(failed > 0);
+  sync_succeeds = false;
+  auto failed_writes = 0;
+  for (auto index = 0; index < values; ++index)
+    failed_writes += !put_synced(*db, index).ok();
+  CHECK(failed_writes > 0);
 }
--- a/src/runtime/ev_host.cpp
+++ b/src/runtime/ev_host.cpp
@@ -29,7 +29,7 @@
   return time;
 }
 
-// Waits until a connect that was begun has an outcome. False: time ran out.
+// Waits until a connection attempt has succeeded or failed. Returns false if the deadline passes first.
 auto wait_until_writable(ev_host& machine, const file_descriptor& socket, monotonic_time deadline) -> task<bool> {
   auto writable = signal();
   auto is_writable = false;
@@ -45,7 +45,7 @@
   co_return true;
 }
 
-// The outcome of a connect, as errno says it; 0: connected.
+// Returns the errno value of a finished connection attempt, or 0 if the socket is connected.
 auto connect_error(const file_descriptor& socket) -> int {
   auto error = 0;
   auto size = socklen_t{sizeof error};
@@ -57,13 +57,13 @@
   return *static_cast<ev_host*>(watcher.data);
 }
 
-auto handle_hup(struct ev_loop*, ev_signal* watcher, int) -> void {
+auto on_hup_signal(struct ev_loop*, ev_signal* watcher, int) -> void {
   auto& machine = host_of(*watcher);
   if (machine.on_hup)
     machine.on_hup();
 }
 
-auto handle_term(struct ev_loop*, ev_signal* watcher, int) -> void {
+auto on_term_signal(struct ev_loop*, ev_signal* watcher, int) -> void {
   auto& machine = host_of(*watcher);
   if (machine.on_term) {
     machine.on_term();
@@ -82,10 +82,10 @@
 ev_host::ev_host(const std::string& data_directory)
     : loop(ev_default_loop(0)), watchers_(std::make_unique<watchers>()) {
   ::signal(SIGPIPE, SIG_IGN);
-  // May throw: nothing is watched yet.
+  // This may throw, so it must precede the start of the watchers.
   if (!data_directory.empty())
     store_ = std::make_unique<leveldb_store>(loop, *this, data_directory);
-  // The timer only ends a wait: what is due is found by `step`.
+  // The libev timer only ends the wait for events. `step` finds the timers that are due.
   ev_timer_init(
       &watchers_->timer, [](struct ev_loop*, ev_timer*, int) {}, 0, 0);
   watch_signals();
@@ -99,9 +99,9 @@
 }
 
 auto ev_host::watch_signals() -> void {
-  ev_signal_init(&watchers_->term, handle_term, SIGTERM);
-  ev_signal_init(&watchers_->interrupt, handle_term, SIGINT);
-  ev_signal_init(&watchers_->hup, handle_hup, SIGHUP);
+  ev_signal_init(&watchers_->term, on_term_signal, SIGTERM);
+  ev_signal_init(&watchers_->interrupt, on_term_signal, SIGINT);
+  ev_signal_init(&watchers_->hup, on_hup_signal, SIGHUP);
   for (auto* watcher : {&watchers_->term, &watchers_->interrupt, &watchers_->hup}) {
     watcher->data = this;
     ev_signal_start(loop, watcher);
@@ -142,8 +142,8 @@
       *refused = error == ECONNREFUSED;
     return byte_stream_ptr();
   };
-  auto begun = ::connect(socket.get(), reinterpret_cast<sockaddr*>(&remote), sizeof remote) == 0;
-  if (!begun && errno != EINPROGRESS)
+  auto is_connected = ::connect(socket.get(), reinterpret_cast<sockaddr*>(&remote), sizeof remote) == 0;
+  if (!is_connected && errno != EINPROGRESS)
     co_return failed(errno);
   auto in_time = co_await wait_until_writable(*this, socket, deadline);
   if (!in_time)
--- a/src/runtime/ev_host.hpp
+++ b/src/runtime/ev_host.hpp
@@ -13,8 +13,8 @@
 
 namespace reachridge {
 
-// A stream whose output waits for the end of the loop's turn: what is sent within one turn leaves with one system call
-// (design 3.1).
+// A stream that buffers its output until the end of the loop's turn, so that all bytes sent within one turn need one
+// system call (design 3.1).
 class buffered_stream
     : public boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
  public:
@@ -22,10 +22,12 @@
   virtual auto flush_buffer() -> void = 0;
 };
 
-// Owns the process's event loop, its signal handlers and its store. One a process, as it uses libev's default loop.
+// The event loop, the signal handlers and the store of a process. A process can have only one ev_host, because the
+// class uses the default loop of libev.
 class ev_host : public host {
  public:
-  // `data_directory` empty: no disk. Throws request_error (errc::disk_failed) if the folder cannot be opened.
+  // Opens the store in `data_directory`; if the name is empty, the host has no disk. Throws request_error
+  // (errc::disk_failed) if the store cannot be opened.
   explicit ev_host(const std::string& data_directory);
   ~ev_host() override;
   [[nodiscard]] auto now() const -> monotonic_time override;
@@ -37,29 +39,30 @@
   auto connect(std::string address, monotonic_time deadline, bool* refused = nullptr) -> task<byte_stream_ptr> override;
   auto disk() -> store* override;
 
-  // Runs the loop until `end` was called.
+  // Runs the loop until `end` is called.
   auto run() -> void;
+  // Makes `run` return after the current step.
   auto end() -> void {
     ended_ = true;
   }
-  // Has the stream flushed once, at the end of this turn.
+  // Schedules one flush of the stream at the end of the current turn.
   auto flush_at_turn_end(buffered_stream& stream) -> void {
     if (!stream.is_linked())
       buffered_.push_back(stream);
   }
 
-  std::uint64_t socket_writes = 0;  // system calls that wrote to sockets so far
-  std::function<void()> on_term;    // SIGTERM or SIGINT, called on the loop. Empty: the loop ends.
-  std::function<void()> on_hup;     // SIGHUP, called on the loop. May be empty.
+  std::uint64_t socket_writes = 0;  // number of system calls that wrote to sockets
+  std::function<void()> on_term;    // called by the loop on SIGTERM or SIGINT; if empty, the loop ends
+  std::function<void()> on_hup;     // called by the loop on SIGHUP; may be empty
   struct ev_loop* loop;
 
  private:
   struct watchers;
   auto watch_signals() -> void;
   auto flush_buffers() -> void;
-  // Resumes what is ready, up to a bound, so that the network gets its turn.
+  // Resumes ready coroutines, at most `max_steps_per_turn` of them, so that network events are handled in time.
   auto run_ready() -> void;
-  // Waits for the network, a signal or the next timer.
+  // Waits for a network event, a signal or the next timer.
   auto wait_for_events() -> void;
 
   std::unique_ptr<watchers> watchers_;
--- a/src/runtime/ev_stream.cpp
+++ b/src/runtime/ev_stream.cpp
@@ -11,13 +11,13 @@
 namespace reachridge {
 namespace {
 
-constexpr auto max_buffered_bytes = std::size_t{64} << 10;  // so much output does not wait for the end of the turn
+constexpr auto max_buffered_bytes = std::size_t{64} << 10;  // more output is written before the end of the turn
 constexpr auto max_input_bytes = std::size_t{16} << 20;     // twice the largest frame
 constexpr auto read_buffer_bytes = std::size_t{64} << 10;
-constexpr auto max_reads_per_event = 4;     // so that one stream does not keep the loop from the others
-constexpr auto max_accepts_per_event = 64;  // likewise
+constexpr auto max_reads_per_event = 4;     // so that one stream does not block the others
+constexpr auto max_accepts_per_event = 64;  // so that new connections do not block the streams
 
-// Did a system call fail with an error that may be gone at the next attempt?
+// Returns whether a system call that failed with this error may succeed at the next attempt.
 auto is_transient(int error) -> bool {
   return error == EAGAIN || error == EINTR;
 }
@@ -47,7 +47,7 @@
 auto ev_stream::send(std::string_view bytes) -> void {
   if (closed || closing_)
     return;
-  auto socket_is_full = !output_.empty() && !is_linked();  // libev says when it takes more
+  auto socket_is_full = !output_.empty() && !is_linked();  // libev reports when the socket accepts bytes again
   output_.append(bytes);
   if (socket_is_full)
     return;
@@ -67,7 +67,8 @@
   mark_closed();
 }
 
-// After a time without a turn of the loop, the end of a stream is there, unread, behind its bytes.
+// After a pause of the loop, the socket may hold the end of the stream before the loop has read it, so this function
+// asks the socket. The socket does not report the end while it holds unread bytes.
 auto ev_stream::peer_has_closed() const -> bool {
   if (closed)
     return true;
--- a/src/runtime/ev_stream.hpp
+++ b/src/runtime/ev_stream.hpp
@@ -1,4 +1,4 @@
-// TCP streams and listening sockets on libev (design 3.1). For ev_host only.
+// TCP streams and listening sockets on libev (design 3.1). Only ev_host uses this header.
 #pragma once
 #include <cstddef>
 #include <memory>
@@ -11,10 +11,11 @@
 
 namespace reachridge {
 
-// A new TCP socket, without blocking; negative if the system has none.
+// Returns a new non-blocking TCP socket. The descriptor is negative if the system call failed.
 [[nodiscard]] auto open_socket() -> file_descriptor;
 
-// One connected socket. What is sent within one turn of the loop leaves with one system call at the turn's end.
+// A connected TCP socket. Bytes that are sent within one turn of the loop are written with one system call at the end
+// of the turn, or earlier if they fill the buffer.
 class ev_stream : public byte_stream, public buffered_stream {
  public:
   ev_stream(ev_host& machine, file_descriptor socket);
@@ -35,22 +36,23 @@
  private:
   auto on_event(int events) -> void;
   auto read_available() -> void;
-  // Reads once. True: there may be more to read.
+  // Reads once from the socket. Returns whether more bytes may be available.
   auto read_once() -> bool;
-  // Writes as much of the output as the socket takes.
+  // Writes as much of the output as the socket accepts.
   auto write_pending() -> void;
+  // Watches for readability while `input` has room, and for writability while the socket's buffer is full.
   auto update_events() -> void;
-  // Nothing is received or sent any more.
+  // Stops receiving and sending, and wakes the waiting coroutines.
   auto mark_closed() -> void;
 
   ev_host& host_;
   file_descriptor socket_;
   io_watcher watcher_;
-  std::string output_;    // queued, not yet taken by the socket
-  bool closing_ = false;  // nothing more is queued
+  std::string output_;    // queued bytes that the socket has not accepted yet
+  bool closing_ = false;  // `close` was called: no more bytes are queued
 };
 
-// Accepts connections and hands them to its owner's queue.
+// A listening TCP socket. Adds each new connection to the queue `accepted`.
 class ev_listener : public listener {
  public:
   ev_listener(ev_host& machine, file_descriptor socket);
--- a/src/runtime/ev_stream_test.cpp
+++ b/src/runtime/ev_stream_test.cpp
@@ -7,14 +7,14 @@
 #include "runtime/ev_host.hpp"
 #include "runtime/loopback.hpp"
 
-// After all others: it redefines new.
+// Must be the last include, because CppUTest redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 namespace {
 using namespace reachridge;
 using reachridge::second;
 
-// Sends a hundred times in one turn, and once more before the end.
+// Calls `send` 100 times in one turn, and once more directly before `close`.
 auto send_in_one_turn(ev_host& machine, std::string address, std::uint64_t& socket_writes) -> task<void> {
   auto stream = co_await machine.connect(address, machine.now() + second);
   if (!stream)
@@ -27,7 +27,7 @@
   stream->close();
 }
 
-// Reads all that comes on the next connection.
+// Reads all bytes of the next accepted connection until its end.
 auto read_to_end(ev_host& machine, listener& listening, std::string& received) -> task<void> {
   auto stream = co_await listening.accepted.pop(machine);
   for (auto open = true; open; open = co_await stream->read_more(machine.now() + second)) {
@@ -38,23 +38,25 @@
   machine.end();
 }
 
-struct end_seen {
-  bool before_sending = true;
-  bool after_closing = false;
+// The results of `peer_has_closed` on the accepted stream, and the bytes that the stream received.
+struct peer_observations {
+  bool closed_before_send = true;
+  bool closed_after_close = false;
   std::string received;
 };
 
-auto send_and_close(loopback& local, end_seen& seen) -> task<void> {
+// Sends "order" and closes the stream. Records the observations of the accepting side.
+auto send_and_close(loopback& local, peer_observations& seen) -> task<void> {
   auto& machine = local.machine;
   auto caller = co_await machine.connect(local.address, machine.now() + second);
   auto accepted = co_await local.listening->accepted.pop(machine);
-  seen.before_sending = accepted->peer_has_closed();
+  seen.closed_before_send = accepted->peer_has_closed();
   caller->send("order");
   caller->close();
-  ::usleep(20000);  // the loop has no turn in between, as in a process that was suspended
+  ::usleep(20000);  // blocks the loop, like a suspension of the process
   co_await accepted->read_more(machine.now() + second);
   seen.received = accepted->input;
-  seen.after_closing = accepted->peer_has_closed();
+  seen.closed_after_close = accepted->peer_has_closed();
   machine.end();
 }
 
@@ -68,11 +70,12 @@
   co_return stream_pair{caller, accepted};
 }
 
-// Closes a stream while events for it are due, and connects at once. True: the new one carries its own bytes only.
+// Closes a stream that has pending events, and connects again at once. Returns whether the new stream receives only its
+// own bytes and stays open.
 auto reuse_descriptor(loopback& local) -> task<bool> {
   auto& machine = local.machine;
   auto old = co_await connect_pair(local);
-  old.accepted->send(std::string(100000, 'x'));  // more than one turn reads: events are still due
+  old.accepted->send(std::string(100000, 'x'));  // more than one turn reads, so events stay pending
   co_await old.caller->read_more(machine.now() + second);
   old.caller.reset();
   auto next = co_await connect_pair(local);
@@ -87,8 +90,9 @@
 
 TEST_GROUP(real_net){};
 
-// Where nobody listens the machine says so at once; an attempt that runs out of time tells nothing.
-TEST(real_net, a_refused_connection_is_distinguished_from_a_silent_one) {
+// A connection to a port without a listener is refused at once. Only a refusal sets the flag `refused`, a timeout does
+// not.
+TEST(real_net, a_refused_connection_is_distinguished_from_a_timeout) {
   auto machine = ev_host("");
   auto tasks = task_group(machine);
   auto refused = false;
@@ -103,8 +107,9 @@
   CHECK(!connected);
 }
 
-// What is sent in one turn leaves together, in order; what is unsent at the close of a stream still goes out.
-TEST(real_net, what_is_sent_in_one_turn_goes_out_at_once) {
+// All bytes that are sent in one turn are written in order with one system call. Bytes that are unsent when the stream
+// is closed are still sent.
+TEST(real_net, bytes_sent_in_one_turn_need_one_system_call) {
   auto local = loopback();
   CHECK(local.listening != nullptr);
   auto received = std::string();
@@ -118,19 +123,21 @@
   STRCMP_EQUAL("x", received.substr(100).c_str());
 }
 
-// After a suspension the last bytes and the end of a client's stream are both there, and the bytes are read first.
-TEST(real_net, the_end_is_reported_after_the_bytes_before_it) {
+// After a suspension of the process, the socket holds both the last bytes and the end of a client's stream. The stream
+// must deliver the bytes before it reports the end.
+TEST(real_net, the_end_of_a_stream_is_reported_after_its_bytes) {
   auto local = loopback();
-  auto seen = end_seen();
+  auto seen = peer_observations();
   local.tasks.spawn(send_and_close(local, seen));
   local.machine.run();
-  CHECK(!seen.before_sending);
+  CHECK(!seen.closed_before_send);
   STRCMP_EQUAL("order", seen.received.c_str());
-  CHECK(seen.after_closing);
+  CHECK(seen.closed_after_close);
 }
 
-// The number of a closed descriptor is given out again at once: nothing of the old stream may show in the new one.
-TEST(real_net, a_reused_descriptor_carries_nothing_of_the_link_before) {
+// The system reuses the number of a closed descriptor at once. Pending events and bytes of the old stream must not
+// reach the new stream.
+TEST(real_net, a_reused_descriptor_receives_nothing_from_the_old_stream) {
   constexpr auto rounds = 50;
   auto local = loopback();
   auto clean = 0;
--- a/src/runtime/event_loop.hpp
+++ b/src/runtime/event_loop.hpp
@@ -1,7 +1,8 @@
-// The event loop's clock, timers and ready list, and what a waiting coroutine suspends on (design 3.1).
+// The event loop with its clock, timers and ready list, and the awaitables that suspend a coroutine (design 3.1).
 //
-// A coroutine waits with `co_await sleep_for(…)`, `co_await sleep_until(…)` or `co_await some_signal.wait(…)`. It is
-// resumed by the loop only, never from inside another coroutine. Everything here belongs to the loop's one thread.
+// A coroutine waits with `co_await sleep_for(…)`, `co_await sleep_until(…)` or `co_await some_signal.wait(…)`. Only the
+// loop resumes a waiting coroutine, never another coroutine. All of this module may be used only on the thread of the
+// loop.
 #pragma once
 #include <boost/intrusive/list.hpp>
 #include <coroutine>
@@ -13,18 +14,18 @@
 
 namespace reachridge {
 
-// A point in time, or a span of it, in microseconds on a steady clock: one that never steps back and whose zero has no
-// meaning. Two processes cannot compare their points in time.
+// A point in time or a time span in microseconds. The clock is monotonic and its zero point is arbitrary, so points in
+// time of two processes cannot be compared.
 using monotonic_time = std::int64_t;
 constexpr monotonic_time millisecond = 1000;
 constexpr monotonic_time second = 1000 * millisecond;
-// Later than any point in time; sums and differences of it and a span do not overflow.
+// A point in time that is never reached. Adding a time span to `never` or subtracting one does not overflow.
 constexpr monotonic_time never = INT64_MAX / 4;
 
 class event_loop;
 
-// One suspended coroutine. It is linked in at most one list (a signal's waiters or the loop's ready list) and has at
-// most one timer; when it is destroyed it leaves both.
+// Represents one suspended coroutine. A waker is linked in at most one list (the waiters of a signal or the ready list
+// of the loop) and has at most one timer. The destructor removes the waker from its list and cancels the timer.
 class waker : public boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
  public:
   explicit waker(event_loop& loop) : owner(loop) {}
@@ -33,11 +34,13 @@
   ~waker() {
     disarm();
   }
-  // Wakes it at that time, in place of an earlier timer. `never`: not by time.
+  // Sets the timer, in place of an earlier one. With `never`, the waker has no timer.
   auto arm(monotonic_time at) -> void;
+  // Cancels the timer.
   auto disarm() -> void;
-  // Moves it to the end of the loop's ready list.
-  auto wake(bool by_time) -> void;
+  // Cancels the timer and moves the waker to the end of the loop's ready list. `by_timer` tells whether the timer
+  // caused the call.
+  auto wake(bool by_timer) -> void;
 
   event_loop& owner;
   std::coroutine_handle<> handle;
@@ -49,7 +52,7 @@
 
 using waker_list = boost::intrusive::list<waker, boost::intrusive::constant_time_size<false>>;
 
-// Owns the ready list and the timers. A host adds the clock and drives it.
+// Owns the ready list and the timers. A host derives from this class, provides the clock and calls `step`.
 class event_loop {
  public:
   event_loop() = default;
@@ -58,7 +61,7 @@
   virtual ~event_loop() = default;
   [[nodiscard]] virtual auto now() const -> monotonic_time = 0;
 
-  // Wakes what is due, then resumes one ready coroutine. False: none was ready.
+  // Fires the timers that are due, then resumes one ready coroutine. Returns false if no coroutine was ready.
   auto step() -> bool {
     fire_timers();
     if (ready_.empty())
@@ -68,17 +71,19 @@
     ready.handle.resume();
     return true;
   }
-  // When there is something to do: `now` if a coroutine is ready, `never` if nothing waits for time.
+  // Returns the time of the next work: `now` if a coroutine is ready, else the time of the earliest timer, or `never`
+  // if there is no timer.
   [[nodiscard]] auto next() const -> monotonic_time {
     if (!ready_.empty())
       return now();
     return timers_.empty() ? never : timers_.begin()->first;
   }
+  // Returns the number of timers.
   [[nodiscard]] auto timers() const -> std::size_t {
     return timers_.size();
   }
-  // What `next` returns may have changed. The first call since `schedule_dirty_` was cleared calls
-  // `on_schedule_changed`; a loop that is not driven from outside never clears it.
+  // Called when the result of `next` may have changed. The first call after `schedule_dirty_` was cleared calls
+  // `on_schedule_changed`. Only a host whose driver schedules the loop from outside (the simulator) clears the flag.
   auto schedule_changed() -> void {
     if (schedule_dirty_)
       return;
@@ -114,16 +119,17 @@
   timer_.reset();
   owner.schedule_changed();
 }
-inline auto waker::wake(bool by_time) -> void {
+inline auto waker::wake(bool by_timer) -> void {
   disarm();
   if (is_linked())
     unlink();
-  timed_out = by_time;
+  timed_out = by_timer;
   owner.ready_.push_back(*this);
   owner.schedule_changed();
 }
 
-// Awaitable: resumes at a point in time. One in the past (0, say) means the loop's next turn.
+// Awaitable that resumes the coroutine at a point in time. A point in the past, for example 0, resumes the coroutine at
+// the loop's next turn.
 class sleep_until {
  public:
   sleep_until(event_loop& loop, monotonic_time at) : waker_(loop), time_(at) {}
@@ -140,11 +146,13 @@
   waker waker_;
   monotonic_time time_;
 };
+// Returns an awaitable that resumes the coroutine after a time span.
 inline auto sleep_for(event_loop& loop, monotonic_time span) -> sleep_until {
   return {loop, loop.now() + span};
 }
 
-// Something happened: whoever waits looks again at the state that the signal is about.
+// Wakes the coroutines that wait for a change of some state, like a condition variable. The signal carries no data: a
+// woken coroutine must check the state itself.
 class signal {
  public:
   class waiter {
@@ -159,7 +167,7 @@
       waiters_.push_back(waker_);
       waker_.arm(deadline_);
     }
-    // False: time ran out.
+    // Returns false if the deadline passed before the signal.
     auto await_resume() const -> bool {
       return !waker_.timed_out;
     }
@@ -169,11 +177,11 @@
     waker_list& waiters_;
     monotonic_time deadline_;
   };
-  // Awaitable: waits for the next `wake`, until the deadline.
+  // Returns an awaitable that waits for the next `wake`, at most until the deadline.
   auto wait(event_loop& loop, monotonic_time deadline = never) -> waiter {
     return {loop, waiters_, deadline};
   }
-  // Wakes all that wait now, in the order in which they began to.
+  // Wakes all current waiters in the order in which they began to wait.
   auto wake() -> void {
     while (!waiters_.empty())
       waiters_.front().wake(false);
--- a/src/runtime/file_descriptor.hpp
+++ b/src/runtime/file_descriptor.hpp
@@ -6,7 +6,8 @@
 
 namespace reachridge {
 
-// Closes the descriptor when it ends. A negative one, as failed system calls return it, is kept as it is.
+// Owns a file descriptor and closes the descriptor in the destructor. A negative value, as returned by a failed system
+// call, is kept but not closed.
 class file_descriptor {
  public:
   explicit file_descriptor(int owned) : descriptor_(owned) {}
--- a/src/runtime/host.cpp
+++ b/src/runtime/host.cpp
@@ -5,7 +5,7 @@
 namespace reachridge {
 namespace {
 
-constexpr auto retry_delay = 250 * millisecond;  // before what the disk refused is written again
+constexpr auto retry_delay = 250 * millisecond;  // delay between a failed write and its retry
 
 }  // namespace
 
@@ -57,13 +57,13 @@
       throw request_error(errc::disk_failed, "the disk does not take writes", execution_outcome::unknown);
     if (!flushing_) {
       flushing_ = true;
-      tasks_.spawn(flush());  // starts at the next turn, so that other syncs of this turn join the same write
+      tasks_.spawn(flush());  // starts at the next turn, so that other syncs of this turn share the write
     }
     co_await flushed_.wait(loop_);
   }
 }
 
-// A task of the store's own: whoever asked for the sync may end while the disk works.
+// The store's task group owns this task, because the caller of `sync` may be destroyed during the write.
 auto store::flush() -> task<void> {
   while (true) {
     auto written = co_await write_pending();
@@ -77,7 +77,7 @@
 }
 
 auto store::write_pending() -> task<bool> {
-  // What was refused stays first: nothing later may be on the disk without it.
+  // The changes of a failed write stay first, because no later change may become durable before them.
   for (auto& change : pending_)
     writing_.push_back(std::move(change));
   pending_.clear();
--- a/src/runtime/host.hpp
+++ b/src/runtime/host.hpp
@@ -1,5 +1,5 @@
-// The interfaces to the machine: clock, network, disk and random numbers (design 3.1).
-// Two hosts implement them: ev_host on libev, TCP and LevelDB, and the simulator's.
+// The interfaces to the machine: clock, network, disk and random numbers (design 3.1). They have two implementations:
+// `ev_host`, which uses libev, TCP and LevelDB, and the simulated host of the simulator.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -18,27 +18,30 @@
 
 namespace reachridge {
 
-// A byte stream to another process. Held by shared_ptr; may outlive the connection.
+// A connection that carries bytes to and from another process. The object is held by shared_ptr and may outlive the
+// connection.
 class byte_stream {
  public:
   explicit byte_stream(event_loop& loop) : loop_(loop) {}
   byte_stream(const byte_stream&) = delete;
   auto operator=(const byte_stream&) -> byte_stream& = delete;
   virtual ~byte_stream() = default;
-  // Queues bytes, and sends them at once where they fit. Nothing once the stream is closed.
+  // Queues bytes for sending. Does nothing after the stream was closed.
   virtual auto send(std::string_view bytes) -> void = 0;
-  // Ends the stream; what is queued still goes out.
+  // Closes the stream. Bytes that are already queued are still sent.
   virtual auto close() -> void = 0;
-  // Bytes that are queued and not yet taken by the network.
+  // Returns the number of queued bytes that the network has not accepted yet.
   [[nodiscard]] virtual auto unsent_bytes() const -> std::size_t = 0;
-  // The reader calls this after it has taken bytes off `input`: there is room for more.
+  // The reader calls this after it has removed bytes from `input`, so that the stream can resume receiving.
   virtual auto input_consumed() -> void {}
-  // Has the other side closed, as far as this machine can tell now? It may be true before `closed` is.
+  // Returns whether this machine already knows that the peer has closed the connection. The result may be true before
+  // `closed` is.
   [[nodiscard]] virtual auto peer_has_closed() const -> bool {
     return closed;
   }
 
-  // Waits for more bytes than are in `input`, or for the deadline. False: the stream has ended.
+  // Waits until bytes are appended to `input`, the stream ends or the deadline passes. Returns false if the stream has
+  // ended, and true if bytes arrived or the deadline passed.
   auto read_more(monotonic_time deadline = never) -> task<bool> {
     auto size_before = input.size();
     while (input.size() == size_before && !closed) {
@@ -48,7 +51,7 @@
     }
     co_return input.size() > size_before;
   }
-  // Waits until at most so many bytes are unsent. False: time ran out or the stream ended.
+  // Waits until at most `max_unsent_bytes` are unsent. Returns false if the deadline passes or the stream ends first.
   auto wait_until_sent(std::size_t max_unsent_bytes, monotonic_time deadline) -> task<bool> {
     while (!closed && unsent_bytes() > max_unsent_bytes) {
       auto in_time = co_await writable_.wait(loop_, deadline);
@@ -60,9 +63,9 @@
   [[nodiscard]] auto now() const -> monotonic_time {
     return loop_.now();
   }
-  std::string input;           // received, and not yet taken off by the reader
-  bool closed = false;         // nothing is received any more, and nothing sent that is not queued
-  std::string remote_address;  // IP:PORT of the other side
+  std::string input;           // received bytes that the reader has not removed yet
+  bool closed = false;         // no more bytes are received or queued
+  std::string remote_address;  // IP:PORT of the peer
 
  protected:
   event_loop& loop_;
@@ -70,15 +73,15 @@
 };
 using byte_stream_ptr = std::shared_ptr<byte_stream>;
 
-// An address that is listened on, for as long as this lives.
+// A listening socket. Destroying the listener stops the listening. New connections are in `accepted`.
 class listener {
  public:
   virtual ~listener() = default;
   command_queue<byte_stream_ptr> accepted;
 };
 
-// Keys and values on the disk. Changes become durable in their order, and at the latest when `sync` returns; all syncs
-// that are asked for while one is under way share the next (group commit).
+// A durable key-value store. Changes become durable in the order in which they were made, and at the latest when `sync`
+// returns. All syncs that are requested while a write is in progress share the next write (group commit).
 class store {
  public:
   using visitor = std::function<void(const std::string& key, const std::string& value)>;
@@ -86,45 +89,49 @@
   store(const store&) = delete;
   auto operator=(const store&) -> store& = delete;
   virtual ~store() = default;
-  // Reads see every change made before them, whether the disk has it yet or not. What was read is durable only if
-  // nothing waits (`all_durable`) or after a sync.
+  // Returns the value of a key. Reads see every earlier change, including changes that are not written to disk yet. A
+  // value that was read is certainly durable only if `all_durable` returns true or after a sync.
   auto get(const std::string& key) -> std::optional<std::string>;
-  // Visits all keys with the prefix, in order.
+  // Visits all keys with the prefix in ascending order. Sees the same changes as `get`.
   auto scan(const std::string& prefix, const visitor& visit) -> void;
-  // No change waits for the disk.
+  // Returns whether every change is durable.
   [[nodiscard]] auto all_durable() const -> bool {
     return durable_ == requested_;
   }
+  // Sets the value of a key. The change is durable after a `sync`.
   auto put(std::string key, std::string content) -> void {
     pending_bytes_ += key.size() + content.size();
     pending_.push_back({std::move(key), std::move(content), false});
     ++requested_;
   }
+  // Removes a key if the store has it. The change is durable after a `sync`.
   auto erase(std::string key) -> void {
     pending_.push_back({std::move(key), {}, true});
     ++requested_;
   }
-  // Returns when all changes made before the call are durable. Throws request_error (errc::disk_failed) once a write
-  // has failed; its changes stay first in line and are written again until the disk takes them, then syncs succeed
-  // again.
+  // Returns when all changes made before the call are durable. Throws request_error (errc::disk_failed) if a write
+  // fails. The store keeps the changes of a failed write and retries them, before any later change, until the disk
+  // accepts them. After that, syncs succeed again.
   auto sync() -> task<void>;
+  // Returns whether the last write failed.
   [[nodiscard]] auto failed() const -> bool {
     return failed_;
   }
-  std::uint64_t syncs = 0;  // writes so far, those that failed included
-  std::uint64_t bytes = 0;  // of keys and values put and handed to the disk so far
+  std::uint64_t syncs = 0;  // number of synced writes, including failed ones
+  std::uint64_t bytes = 0;  // total size of the keys and values passed to `put` and then to the disk
 
  protected:
   struct change {
     std::string key, value;
     bool erased;
   };
-  // Makes changes durable, all or none, and throws if the disk refuses. They stay as they are until the task ends.
+  // Makes the changes durable, all of them or none. Throws if the disk refuses the write. The caller keeps `changes`
+  // unchanged until the task ends.
   virtual auto write(const std::vector<change>& changes) -> task<void> = 0;
-  // Reads of what the disk itself holds.
+  // Read the disk alone, without the changes that are not written yet.
   virtual auto get_written(const std::string& key) -> std::optional<std::string> = 0;
   virtual auto scan_written(const std::string& prefix, const visitor& visit) -> void = 0;
-  // For the destructor of a store, before it ends what `write` works with.
+  // Destroys the flush task. The destructor of a derived class calls this before it destroys what `write` uses.
   auto stop_tasks() -> void {
     tasks_.clear();
   }
@@ -132,43 +139,45 @@
 
  private:
   using pending_changes = std::map<std::string, const change*, std::less<>>;
-  // The last change that waits for the disk, for each key with the prefix.
+  // Returns, for each key with the prefix, its latest change that is not durable yet.
   [[nodiscard]] auto newest_pending(const std::string& prefix) const -> pending_changes;
-  // Writes what waits until the disk has taken it.
+  // Retries `write_pending` until it succeeds.
   auto flush() -> task<void>;
-  // Writes all that waits now. False: the disk refused.
+  // Writes all changes that are not durable yet. Returns false if the disk refused the write.
   auto write_pending() -> task<bool>;
 
-  std::vector<change> pending_;  // not handed to the disk yet
-  std::vector<change> writing_;  // with the disk now, or refused by it
-  std::uint64_t requested_ = 0;  // changes made so far
-  std::uint64_t durable_ = 0;    // how many of them, from the first, are durable
+  std::vector<change> pending_;  // not passed to `write` yet
+  std::vector<change> writing_;  // passed to `write`: in progress, or to be retried after a failure
+  std::uint64_t requested_ = 0;  // number of changes made
+  std::uint64_t durable_ = 0;    // number of changes, counted from the first, that are durable
   std::size_t pending_bytes_ = 0;
-  bool flushing_ = false;  // a flush is under way
-  bool failed_ = false;    // the last write was refused
+  bool flushing_ = false;  // `flush` is running
+  bool failed_ = false;    // the last write failed
   signal flushed_;
   task_group tasks_;
 };
 
-// One process's machine. It is the event loop of the process, and outlives everything that runs on it.
+// The machine as one process sees it, and the event loop of this process. The host must outlive every task, stream and
+// store that uses it.
 class host : public event_loop {
  public:
   [[nodiscard]] virtual auto wall_clock_ms() const -> std::int64_t = 0;  // milliseconds since 1970
   virtual auto random() -> std::uint64_t = 0;                            // all 64 bits are random
-  // Listens on IP:PORT. Throws request_error (errc::listen_failed).
+  // Listens on IP:PORT. Throws request_error (errc::listen_failed) if that is not possible.
   virtual auto listen(const std::string& address) -> std::unique_ptr<listener> = 0;
-  // Connects to IP:PORT. Null if that failed or took longer than until the deadline. `refused` is then set if the
-  // machine answered that nobody listens there: the process has ended. A machine without power and a network partition
-  // answer nothing.
+  // Connects to IP:PORT. Returns null if the attempt failed or the deadline passed. If `refused` is given, a failure
+  // sets the flag to whether the remote machine refused the connection, which means that no process listens on this
+  // port. A timeout leaves the flag unchanged: a machine without power and a network partition do not answer.
   virtual auto connect(std::string address, monotonic_time deadline, bool* refused = nullptr)
       -> task<byte_stream_ptr> = 0;
-  // Null: the process has no disk.
+  // Returns the store of the process, or null if the process has no disk.
   virtual auto disk() -> store* = 0;
-  // A random number from 0 up to, and not including, the bound; 0 for a bound of 0.
+  // Returns a random number below the bound, or 0 if the bound is 0.
   auto random_below(std::uint64_t bound) -> std::uint64_t {
     return bound ? random() % bound : 0;
   }
-  // A random span from half of the given one to one and a half of it, so that many processes do not act at once.
+  // Returns a random time span between 0.5 and 1.5 times the given one. The jitter keeps many processes from acting at
+  // the same moment.
   auto jittered(monotonic_time span) -> monotonic_time {
     return span / 2 + static_cast<monotonic_time>(random_below(static_cast<std::uint64_t>(span) + 1));
   }
--- a/src/runtime/io_watcher.hpp
+++ b/src/runtime/io_watcher.hpp
@@ -1,4 +1,4 @@
-// A libev watcher on a file descriptor.
+// A libev watcher for a file descriptor.
 #pragma once
 #include <ev.h>
 
@@ -7,8 +7,8 @@
 
 namespace reachridge {
 
-// Calls back from libev's loop while the descriptor is readable (EV_READ) or writable (EV_WRITE), and stops when it
-// ends. The descriptor has to stay open as long.
+// Calls a function from the libev loop while the descriptor is readable (EV_READ) or writable (EV_WRITE). The
+// destructor stops the calls. The descriptor must stay open for the lifetime of the watcher.
 class io_watcher {
  public:
   using callback = std::function<void(int events)>;
@@ -24,7 +24,7 @@
   ~io_watcher() {
     ev_io_stop(loop_, &io_);
   }
-  // Watches for these events in place of those before; 0: for none.
+  // Replaces the watched events. 0 stops the watching.
   auto set_events(int events) -> void {
     auto unchanged = (io_.events & (EV_READ | EV_WRITE)) == events && ev_is_active(&io_);
     if (unchanged)
--- a/src/runtime/leveldb_store.cpp
+++ b/src/runtime/leveldb_store.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr auto log_name = "store";
-constexpr auto reopen_retry_ms = second / millisecond;
+constexpr auto retry_after_reopen_ms = second / millisecond;
 
-auto environment() -> durable_env& {
+auto shared_environment() -> durable_env& {
   static auto shared = durable_env(leveldb::Env::Default());
   return shared;
 }
@@ -25,12 +25,13 @@
   return {errc::disk_failed, "data folder " + folder + ": " + status.ToString()};
 }
 
-// Opens the files in a folder, after cutting off the record that a loss of power may have torn.
-auto open_files(const std::string& folder) -> std::unique_ptr<leveldb::DB> {
+// Opens the database in a folder. If the database is corrupt because a loss of power tore the last record of the log,
+// removes this record and opens the database again.
+auto open_database_in(const std::string& folder) -> std::unique_ptr<leveldb::DB> {
   auto options = leveldb::Options();
   options.create_if_missing = true;
   options.paranoid_checks = true;
-  options.env = &environment();
+  options.env = &shared_environment();
   auto* raw = static_cast<leveldb::DB*>(nullptr);
   auto opened = leveldb::DB::Open(options, folder, &raw);
   if (opened.IsCorruption() && cut_torn_tail(folder))
@@ -38,7 +39,7 @@
   if (!opened.ok())
     throw open_error(folder, opened);
   auto database = std::unique_ptr<leveldb::DB>(raw);
-  // Names that opening has made or removed are durable only after a sync of their folder.
+  // Opening creates and removes files. These changes are durable only after a sync of the folder.
   auto synced = sync_folder(folder);
   if (!synced.ok())
     throw open_error(folder, synced);
@@ -61,7 +62,7 @@
 }  // namespace
 
 leveldb_store::leveldb_store(struct ev_loop* watching_loop, event_loop& loop, std::string folder)
-    : store(loop), folder_(std::move(folder)), database_(open_files(folder_)), writer_(watching_loop, loop) {}
+    : store(loop), folder_(std::move(folder)), database_(open_database_in(folder_)), writer_(watching_loop, loop) {}
 
 leveldb_store::~leveldb_store() {
   stop_tasks();
@@ -78,11 +79,11 @@
 }
 
 auto leveldb_store::scan_written(const std::string& prefix, const visitor& visit) -> void {
-  auto row = std::unique_ptr<leveldb::Iterator>(open_database().NewIterator(checked_reads()));
-  for (row->Seek(prefix); row->Valid() && row->key().starts_with(prefix); row->Next())
-    visit(row->key().ToString(), row->value().ToString());
-  if (!row->status().ok())
-    throw decode_error(row->status().ToString());
+  auto iterator = std::unique_ptr<leveldb::Iterator>(open_database().NewIterator(checked_reads()));
+  for (iterator->Seek(prefix); iterator->Valid() && iterator->key().starts_with(prefix); iterator->Next())
+    visit(iterator->key().ToString(), iterator->value().ToString());
+  if (!iterator->status().ok())
+    throw decode_error(iterator->status().ToString());
 }
 
 auto leveldb_store::write(const std::vector<change>& changes) -> task<void> {
@@ -96,14 +97,15 @@
       batch->Put(change.key, change.value);
     }
   }
-  // Not written inside the co_await: g++ 12 ends a lambda's captures twice there.
+  // This lambda must not be created inside the `co_await` expression: g++ 12 then destroys its captures twice.
   auto work = worker_thread::job_function([batch, database = database_] {
     return write_synced(*database, *batch);
   });
   auto error = co_await writer_.run(std::move(work));
   if (error.empty())
     co_return;
-  // LevelDB takes nothing more after some errors, and after others writes on behind a torn record.
+  // After some errors LevelDB accepts no more writes, and after others it continues to write behind a torn record.
+  // Therefore the database is closed.
   database_.reset();
   log(log_level::error, log_name, error);
   throw request_error(errc::disk_failed, error, execution_outcome::unknown);
@@ -113,7 +115,7 @@
   auto opened = std::make_shared<std::shared_ptr<leveldb::DB>>();
   auto work = worker_thread::job_function([opened, folder = folder_] {
     try {
-      *opened = open_files(folder);
+      *opened = open_database_in(folder);
     } catch (const std::exception& error) {
       return std::string(error.what());
     }
@@ -129,7 +131,7 @@
 auto leveldb_store::open_database() const -> leveldb::DB& {
   if (!database_)
     throw request_error(errc::disk_failed, "the data folder is being opened again", execution_outcome::not_executed,
-                        reopen_retry_ms);
+                        retry_after_reopen_ms);
   return *database_;
 }
 
--- a/src/runtime/leveldb_store.hpp
+++ b/src/runtime/leveldb_store.hpp
@@ -1,4 +1,4 @@
-// The store in a LevelDB folder, written by a thread of its own (design 3.1).
+// A store in a LevelDB folder. A separate thread does the writing (design 3.1).
 #pragma once
 #include <leveldb/db.h>
 
@@ -12,10 +12,11 @@
 
 namespace reachridge {
 
-// Owns the open files of one data folder. After a write that failed they are closed, and opened again before the next.
+// Owns the open database of one data folder. A failed write closes the database, and the next write reopens it.
 class leveldb_store : public store {
  public:
-  // Opens the folder, or makes it. Throws request_error (errc::disk_failed) if that fails or the files are damaged.
+  // Opens the database in the folder and creates it if necessary. Throws request_error (errc::disk_failed) if that
+  // fails or the files are damaged.
   leveldb_store(struct ev_loop* watching_loop, event_loop& loop, std::string folder);
   ~leveldb_store() override;
 
@@ -25,13 +26,14 @@
   auto write(const std::vector<change>& changes) -> task<void> override;
 
  private:
+  // Opens the database on the writer thread. Throws request_error (errc::disk_failed) if that fails.
   auto reopen() -> task<void>;
-  // Throws request_error (errc::disk_failed) while the files are closed.
+  // Returns the database. Throws request_error (errc::disk_failed) while the database is closed.
   [[nodiscard]] auto open_database() const -> leveldb::DB&;
 
   std::string folder_;
-  std::shared_ptr<leveldb::DB> database_;  // null: closed after a failed write
-  worker_thread writer_;                   // ends, with what it has under way, before the files are closed
+  std::shared_ptr<leveldb::DB> database_;  // null if closed after a failed write
+  worker_thread writer_;                   // destroyed before `database_`, after the current job has finished
 };
 
 }  // namespace reachridge
--- a/src/runtime/leveldb_store_test.cpp
+++ b/src/runtime/leveldb_store_test.cpp
@@ -11,13 +11,13 @@
 #include "runtime/scratch_folder.hpp"
 #include "runtime/store_model.hpp"
 
-// After all others: it redefines new.
+// Must be the last include, because CppUTest redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 namespace {
 using namespace reachridge;
 
-// Runs one task with the store of a folder, until the task ends the loop.
+// Runs a task on a host with the store in `folder`, until the task ends the loop.
 template <class Function>
 auto run_with_store(const std::string& folder, Function make_task) -> void {
   auto machine = ev_host(folder);
@@ -31,33 +31,34 @@
   co_await disk.sync();
 }
 
-// The bound on the size of files that this process may write; the signal for it is ignored meanwhile.
+// Limits the size of the files that this process may write, in order to simulate a full disk. Ignores the signal for
+// exceeded limits until the destructor restores the old handler.
 class file_size_limit {
  public:
   file_size_limit() : old_handler_(std::signal(SIGXFSZ, SIG_IGN)) {
-    ::getrlimit(RLIMIT_FSIZE, &before_);
+    ::getrlimit(RLIMIT_FSIZE, &original_limit_);
   }
   file_size_limit(const file_size_limit&) = delete;
   auto operator=(const file_size_limit&) -> file_size_limit& = delete;
   ~file_size_limit() {
-    lift();
+    restore();
     std::signal(SIGXFSZ, old_handler_);
   }
   auto set(rlim_t bytes) -> void {
-    auto limited = before_;
+    auto limited = original_limit_;
     limited.rlim_cur = bytes;
     ::setrlimit(RLIMIT_FSIZE, &limited);
   }
-  auto lift() -> void {
-    ::setrlimit(RLIMIT_FSIZE, &before_);
+  auto restore() -> void {
+    ::setrlimit(RLIMIT_FSIZE, &original_limit_);
   }
 
  private:
-  rlimit before_{};
+  rlimit original_limit_{};
   void (*old_handler_)(int);
 };
 
-// What a sync reports: taken, or the error and whether the store counts as failed.
+// Returns the result of a sync: "synced", or the error code and whether the store reports a failure.
 auto sync_result(store& disk) -> task<std::string> {
   try {
     co_await disk.sync();
@@ -67,7 +68,8 @@
   }
 }
 
-// Fills the disk up, makes room again and writes on; reports the results of the syncs.
+// Writes to a full disk, then removes the size limit, waits until the store recovers and writes again. Appends the
+// results of the syncs to `results`.
 auto write_on_full_disk(ev_host& machine, file_size_limit& limit, std::string& results) -> task<void> {
   auto& disk = *machine.disk();
   disk.put("a", "1");
@@ -79,7 +81,7 @@
     results += result;
   }
   co_await sleep_for(machine, 600 * millisecond);
-  limit.lift();
+  limit.restore();
   while (disk.failed())
     co_await sleep_for(machine, 50 * millisecond);
   disk.put("c", "3");
@@ -88,8 +90,8 @@
   machine.end();
 }
 
-// All keys with the sizes of their values.
-auto sizes_in(const std::string& folder) -> std::string {
+// Returns all keys with the sizes of their values.
+auto value_sizes_in(const std::string& folder) -> std::string {
   auto machine = ev_host(folder);
   auto found = std::string();
   machine.disk()->scan("", [&](const std::string& key, const std::string& content) {
@@ -101,24 +103,25 @@
 
 TEST_GROUP(real_disk){};
 
-// The write of a group of syncs once ran in the task that asked first; with its end, no sync ever came back.
-TEST(real_disk, a_sync_outlives_who_asked_for_it) {
+// Guards against a fault in which the shared write ran in the task that called `sync` first. When this task was
+// destroyed, no sync completed any more.
+TEST(real_disk, a_sync_completes_after_its_first_caller_is_destroyed) {
   auto folder = scratch_folder();
   auto machine = ev_host(folder.path());
   auto tasks = task_group(machine);
-  auto brief_tasks = std::make_unique<task_group>(machine);
-  brief_tasks->spawn(put_and_sync(*machine.disk(), "a"));
-  tasks.spawn([](ev_host& host, std::unique_ptr<task_group>& brief) -> task<void> {
+  auto first_caller_tasks = std::make_unique<task_group>(machine);
+  first_caller_tasks->spawn(put_and_sync(*machine.disk(), "a"));
+  tasks.spawn([](ev_host& host, std::unique_ptr<task_group>& first_caller) -> task<void> {
     for (auto turn = 0; turn < 3; ++turn)
       co_await sleep_until(host, 0);
-    brief.reset();
+    first_caller.reset();
     co_await put_and_sync(*host.disk(), "b");
     host.end();
-  }(machine, brief_tasks));
+  }(machine, first_caller_tasks));
   machine.run();
 }
 
-TEST(real_disk, what_was_synced_is_there_after_reopening) {
+TEST(real_disk, synced_changes_survive_reopening) {
   auto folder = scratch_folder();
   run_with_store(folder.path(), [](ev_host& machine) -> task<void> {
     auto& disk = *machine.disk();
@@ -136,7 +139,7 @@
   CHECK(!machine.disk()->get("c"));
 }
 
-TEST(real_disk, reads_see_what_waits_for_a_sync) {
+TEST(real_disk, reads_see_changes_that_are_not_synced) {
   for (auto seed = std::uint64_t{1}; seed <= 4; ++seed) {
     auto folder = scratch_folder();
     auto difference = std::string();
@@ -150,9 +153,9 @@
   }
 }
 
-// A disk that takes no more and later does again: syncs fail meanwhile, nothing put is lost, and no end of the process
-// is needed.
-TEST(real_disk, a_full_disk_is_written_on_once_there_is_room) {
+// While the disk is full, syncs fail. After the disk has room again, the store must recover without a restart of the
+// process and without losing a change.
+TEST(real_disk, writes_resume_when_a_full_disk_has_room_again) {
   auto folder = scratch_folder();
   auto results = std::string();
   {
@@ -162,5 +165,5 @@
     });
   }
   STRCMP_EQUAL("disk broken disk broken and again", results.c_str());
-  STRCMP_EQUAL("a:1 b0:8000 b1:8000 c:1 ", sizes_in(folder.path()).c_str());
+  STRCMP_EQUAL("a:1 b0:8000 b1:8000 c:1 ", value_sizes_in(folder.path()).c_str());
 }
--- a/src/runtime/log.cpp
+++ b/src/runtime/log.cpp
@@ -23,7 +23,7 @@
 constexpr auto default_max_lines = std::size_t{4000};
 constexpr auto max_dump_files = 8;
 
-// The levels as the lines name them; operators and scripts search for these words.
+// The names of the log levels in the log lines. Operators and scripts search for these words.
 constexpr auto level_names = std::to_array<const char*>({"fine", "note", "warn", "grave"});
 
 auto system_clock_ms() -> std::int64_t {
@@ -37,7 +37,7 @@
   std::string folder;
   bool to_stderr = false;
   std::int64_t (*now_ms)() = system_clock_ms;
-  int dumps = 0;  // so far
+  int dumps = 0;  // number of files written
 };
 
 auto ring() -> log_ring& {
@@ -45,7 +45,7 @@
   return shared;
 }
 
-// Boost.Log's end of the ring.
+// The Boost.Log backend that appends each formatted line to the ring.
 class log_ring_backend : public logging::sinks::basic_formatted_sink_backend<char, logging::sinks::concurrent_feeding> {
  public:
   auto consume(const logging::record_view&, const string_type& line) -> void {
@@ -54,7 +54,7 @@
     while (target.lines.size() > target.max_lines)
       target.lines.pop_front();
     if (target.to_stderr)
-      std::cerr << line + '\n';  // one write a line
+      std::cerr << line + '\n';  // one write per line
   }
 };
 
--- a/src/runtime/log.hpp
+++ b/src/runtime/log.hpp
@@ -1,7 +1,6 @@
-// The log: lines in a ring in memory, written to a file when something goes wrong (design 3.5).
+// The log: a ring of lines in memory that is written to a file when an incident occurs (design 3.5).
 //
-// One ring a process. The lines of the event loop's thread and of the disk's are not ordered by a lock: log from the
-// loop only.
+// Each process has one ring. The ring has no lock, so only the thread of the event loop may log, never the disk thread.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -11,15 +10,17 @@
 
 enum class log_level { debug, info, warning, error };
 
-// Adds a line. `source` is the process, or the module, that logs.
+// Adds a line to the ring. `source` names the process or module that logs.
 auto log(log_level level, const std::string& source, const std::string& message) -> void;
-// Writes the ring to the log folder, with the reason on top. The last few such files are kept.
+// Writes the ring to a file in the log folder, with the reason on the first line. Only the last few files are kept.
 auto dump_log(const std::string& reason) -> void;
-// `folder` empty: `dump_log` writes no files. `to_stderr`: each line goes to stderr too.
+// Sets the size of the ring in lines and the log folder. If `folder` is empty, `dump_log` writes no files. With
+// `to_stderr`, each line is also written to stderr.
 auto configure_logging(std::size_t max_lines, const std::string& folder, bool to_stderr) -> void;
-// The lines in the ring, the oldest first.
+// Returns the lines in the ring, the oldest first.
 auto recent_log() -> std::string;
-// The clock that dates the lines, in milliseconds since 1970. Null: the system's. The simulator sets its own.
+// Sets the clock for the timestamps of the lines, in milliseconds since 1970. Null selects the system clock. The
+// simulator sets a simulated clock.
 auto set_log_clock(std::int64_t (*now_ms)()) -> void;
 
 }  // namespace reachridge
--- a/src/runtime/loopback.hpp
+++ b/src/runtime/loopback.hpp
@@ -1,4 +1,4 @@
-// For tests: real sockets on this machine.
+// Test helpers that use real sockets on the loopback interface.
 #pragma once
 #include <memory>
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace reachridge {
 
-// Listens on a free port of this machine and sets the address. Null: none of the ports tried is free.
+// Listens on a free loopback port and sets `address` to it. Returns null if all tried ports are in use.
 inline auto listen_on_free_port(ev_host& machine, std::string& address) -> std::unique_ptr<listener> {
   constexpr auto first_port = 24100;
   constexpr auto ports = 100;
@@ -17,13 +17,13 @@
     try {
       return machine.listen(address);
     } catch (const request_error&) {
-      // taken: the next one
+      // The port is in use.
     }
   }
   return nullptr;
 }
 
-// A loop of its own that listens on this machine.
+// A host without a disk that listens on a loopback port.
 struct loopback {
   ev_host machine{""};
   task_group tasks{machine};
--- a/src/runtime/scratch_folder.hpp
+++ b/src/runtime/scratch_folder.hpp
@@ -1,4 +1,4 @@
-// For tests: a folder of their own.
+// Temporary folders for tests.
 #pragma once
 #include <cstdlib>
 #include <filesystem>
@@ -7,7 +7,7 @@
 
 namespace reachridge {
 
-// A new folder, removed with all that is in it at the end.
+// Creates a new folder under /tmp. The destructor removes the folder and its contents.
 class scratch_folder {
  public:
   scratch_folder() {
--- a/src/runtime/socket_address.hpp
+++ b/src/runtime/socket_address.hpp
@@ -1,4 +1,4 @@
-// Addresses of sockets, as IP:PORT and as the system calls take them.
+// Conversion of socket addresses between the text form IP:PORT and the form of the system calls.
 #pragma once
 #include <netinet/in.h>
 
@@ -6,8 +6,9 @@
 
 namespace reachridge {
 
-// The text must be an address as `is_address` (settings.hpp) takes it.
+// Converts IP:PORT. The text must be valid according to `is_address` (settings.hpp).
 [[nodiscard]] auto to_socket_address(const std::string& text) -> sockaddr_in;
+// Returns IP:PORT.
 [[nodiscard]] auto to_text(const sockaddr_in& address) -> std::string;
 
 }  // namespace reachridge
--- a/src/runtime/task.hpp
+++ b/src/runtime/task.hpp
@@ -1,4 +1,4 @@
-// Coroutine tasks, the task group that owns them, and queues between them (design 3.1, 3.2).
+// Coroutine tasks, task groups that own detached tasks, and queues between tasks (design 3.1, 3.2).
 #pragma once
 #include <coroutine>
 #include <cstdint>
@@ -17,7 +17,7 @@
 class task;
 
 namespace detail {
-// What the promises of all tasks share: who awaits the task, and the exception that ended it.
+// The common part of all task promises: the awaiting coroutine and the exception that ended the task.
 struct promise_base {
   std::coroutine_handle<> continuation = std::noop_coroutine();
   std::exception_ptr error;
@@ -65,8 +65,8 @@
 };
 }  // namespace detail
 
-// A coroutine that starts when it is awaited and is owned by whoever awaits it: destroying the owner destroys it too.
-// Its result is what it returned, or the exception that ended it.
+// A coroutine that starts when it is awaited. The task object owns the coroutine, so destroying the awaiting coroutine
+// destroys the awaited one too. `co_await` returns the result of the coroutine or rethrows the exception that ended it.
 template <class T>
 class [[nodiscard]] task {
  public:
@@ -103,8 +103,9 @@
 }
 }  // namespace detail
 
-// Owns tasks that nobody awaits. Its end destroys every task still in it, whatever they wait for, in the order in which
-// they began: a process that is killed in the simulation leaves nothing behind, and a run repeats exactly.
+// Owns tasks that no coroutine awaits. The destructor destroys all unfinished tasks in the order in which they were
+// spawned. Therefore a process that is killed in the simulation leaves no tasks behind, and simulations are
+// reproducible.
 class task_group {
  public:
   explicit task_group(event_loop& loop) : loop_(loop) {}
@@ -113,7 +114,7 @@
   ~task_group() {
     clear();
   }
-  // Destroys all tasks. Not to be called from one of them.
+  // Destroys all tasks. A task of the group must not call this.
   auto clear() -> void {
     while (!tasks_.empty()) {
       auto oldest = tasks_.begin()->second;
@@ -121,15 +122,15 @@
       oldest.destroy();
     }
   }
-  // Takes a task over. It starts at the loop's next turn, never inside this call.
+  // Takes ownership of a task. The task starts at the loop's next turn, never during this call.
   auto spawn(task<void> spawned) -> void {
     run(*this, std::move(spawned));
   }
-  // Called with the exception that ended a task. Empty: the exception is dropped.
+  // Called with the exception that ended a task. If the function is empty, the exception is ignored.
   std::function<void(std::exception_ptr)> on_error;
 
  private:
-  // The coroutine that runs a spawned task; its frame owns the task.
+  // The coroutine type of `run`. The coroutine frame owns the spawned task.
   struct detached {
     struct promise_type {
       auto get_return_object() -> detached {
@@ -147,7 +148,7 @@
       }
     };
   };
-  // Awaitable that enters the running coroutine into the group, without a suspension.
+  // Awaitable that adds the running coroutine to the group without suspending the coroutine.
   struct registration {
     task_group& group;
     std::uint64_t id;
@@ -163,7 +164,7 @@
       return id;
     }
   };
-  // Takes a task out of the group when its coroutine ends.
+  // Removes a task from the group when the coroutine of the task ends.
   struct membership {
     task_group& group;
     std::uint64_t id;
@@ -183,19 +184,20 @@
     }
   }
   event_loop& loop_;
-  std::map<std::uint64_t, std::coroutine_handle<>> tasks_;  // in the order they began
+  std::map<std::uint64_t, std::coroutine_handle<>> tasks_;  // by id, which is the order of spawning
   std::uint64_t last_id_ = 0;
 };
 
-// A queue of commands for the one owner of a table (design 3.2). It has no bound.
+// An unbounded queue of commands for the task that owns a table (design 3.2).
 template <class T>
 class command_queue {
  public:
+  // Appends an item and wakes the waiting tasks.
   auto push(T item) -> void {
     items_.push_back(std::move(item));
     pushed_.wake();
   }
-  // Takes the oldest item, and waits for one if there is none.
+  // Removes and returns the oldest item. Waits while the queue is empty.
   auto pop(event_loop& loop) -> task<T> {
     while (items_.empty())
       co_await pushed_.wait(loop);
--- a/src/runtime/torn_tail.cpp
+++ b/src/runtime/torn_tail.cpp
@@ -17,19 +17,20 @@
 namespace reachridge {
 namespace {
 
-// The log format of LevelDB (its doc/log_format.md): blocks of fragments. A fragment is a header (4 bytes of checksum,
-// 2 of length, 1 of type) and its bytes; a record is one fragment or several.
+// The log format of LevelDB (doc/log_format.md in its sources): a log consists of blocks, a block of fragments. A
+// fragment is a header (4 bytes of checksum, 2 of length, 1 of type) followed by its data. A record is one or more
+// fragments.
 constexpr auto block_bytes = std::size_t{32768};
 constexpr auto header_bytes = std::size_t{7};
 constexpr auto length_offset = std::size_t{4};
-constexpr auto type_offset = std::size_t{6};  // the checksum covers what begins here
+constexpr auto type_offset = std::size_t{6};  // the checksum covers the type and the data
 constexpr auto checksum_mask_delta = 0xa282ead8U;
 enum fragment_type : unsigned char { none = 0, full = 1, first = 2, middle = 3, last = 4 };
 
 struct fragment {
-  std::size_t size = 0;  // with its header; 0: the header itself makes no sense
+  std::size_t size = 0;  // including the header; 0 if the header is invalid
   unsigned char type = none;
-  bool whole = false;  // its checksum is right
+  bool is_intact = false;  // the header is valid and the checksum matches
   [[nodiscard]] auto begins_record() const -> bool {
     return type == full || type == first;
   }
@@ -39,7 +40,7 @@
   return static_cast<unsigned char>(bytes[offset]);
 }
 
-// CRC-32C, rotated and shifted as the format masks it.
+// Returns the CRC-32C of the bytes, masked as the log format requires.
 auto masked_checksum(std::string_view bytes) -> std::uint32_t {
   auto crc = boost::crc_optimal<32, 0x1EDC6F41, 0xFFFFFFFF, 0xFFFFFFFF, true, true>();
   crc.process_bytes(bytes.data(), bytes.size());
@@ -55,7 +56,7 @@
   return block_bytes - offset % block_bytes;
 }
 
-// The end of a block that is too short for a header holds none.
+// Returns the offset of the next fragment. The rest of a block is padding if it is too short for a header.
 auto skip_padding(std::size_t offset) -> std::size_t {
   auto room = room_in_block(offset);
   return room < header_bytes ? offset + room : offset;
@@ -68,23 +69,24 @@
   auto bytes = log.substr(offset, room);
   auto length = std::size_t{byte_at(bytes, length_offset) | byte_at(bytes, length_offset + 1) << 8};
   auto type = static_cast<unsigned char>(byte_at(bytes, type_offset));
-  auto makes_sense = type != none && type <= last && header_bytes + length <= room;
-  if (!makes_sense)
+  auto header_is_valid = type != none && type <= last && header_bytes + length <= room;
+  if (!header_is_valid)
     return {0, type, false};
   auto checksum = masked_checksum(bytes.substr(type_offset, 1 + length));
   return {header_bytes + length, type, checksum == stored_checksum(bytes)};
 }
 
-// Log files have numbered names, of one width up to a million files.
-auto is_newer(const std::filesystem::path& one, const std::filesystem::path& other) -> bool {
+// Compares the numbers in the names of two log files. LevelDB pads the numbers to 6 digits, and larger numbers have
+// more digits, so a longer name is newer.
+auto is_newer(const std::filesystem::path& candidate, const std::filesystem::path& other) -> bool {
   auto number = [](const std::filesystem::path& file) {
     auto stem = file.stem().string();
     return std::pair(stem.size(), stem);
   };
-  return number(one) > number(other);
+  return number(candidate) > number(other);
 }
 
-// The newest log with bytes in it; empty: there is none.
+// Returns the path of the newest log file that is not empty, or an empty path if there is none.
 auto newest_log(const std::string& folder) -> std::filesystem::path {
   auto newest = std::filesystem::path();
   auto error = std::error_code();
@@ -99,9 +101,9 @@
 }
 
 auto read_file(const std::filesystem::path& file) -> std::string {
-  auto in = std::ifstream(file, std::ios::binary);
+  auto input = std::ifstream(file, std::ios::binary);
   auto content = std::ostringstream();
-  content << in.rdbuf();
+  content << input.rdbuf();
   return content.str();
 }
 
@@ -113,14 +115,14 @@
 }  // namespace
 
 auto torn_tail(std::string_view log) -> std::optional<std::size_t> {
-  auto unfinished = std::optional<std::size_t>();  // where a record begins whose last fragment was not seen yet
-  auto torn = std::optional<std::size_t>();        // where the first torn record begins
+  auto unfinished = std::optional<std::size_t>();  // offset of the record whose last fragment was not read yet
+  auto torn = std::optional<std::size_t>();        // offset of the first torn record
   auto offset = std::size_t{0};
   while (offset < log.size()) {
     auto next = read_fragment(log, offset);
-    if (!torn && !next.whole)
+    if (!torn && !next.is_intact)
       torn = unfinished.value_or(offset);
-    if (torn && next.whole && next.begins_record())
+    if (torn && next.is_intact && next.begins_record())
       return {};
     if (next.type == first)
       unfinished = offset;
--- a/src/runtime/value_test.cpp
+++ b/src/runtime/value_test.cpp
@@ -2,19 +2,19 @@
 
 #include <string>
 
-// After all others: it redefines new.
+// Must be the last include, because CppUTest redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 using namespace reachridge;
 
 TEST_GROUP(value_bytes){};
 
-TEST(value_bytes, come_back_as_they_went) {
+TEST(value_bytes, decode_to_the_original_value) {
   auto original = boost::json::parse(R"({"a":[1,-7,null,true,{"b":"x","c":[]}],"n":9007199254740993,"d":0.5,"e":{}})");
   CHECK(decode_cbor(encode_cbor(original)) == original);
 }
 
-TEST(value_bytes, every_flipped_bit_is_seen) {
+TEST(value_bytes, every_flipped_bit_is_detected) {
   auto bytes = encode_with_checksum(boost::json::parse(R"({"k":"value","n":12})"));
   for (auto i = 0U; i < bytes.size() * 8; ++i) {
     auto altered = bytes;
@@ -23,7 +23,7 @@
   }
 }
 
-TEST(value_bytes, torn_or_foreign_is_refused) {
+TEST(value_bytes, truncated_or_malformed_bytes_are_rejected) {
   auto bytes = encode_cbor(boost::json::parse(R"({"k":[1,2,3]})"));
   for (auto size = 0U; size < bytes.size(); ++size)
     CHECK_THROWS(decode_error, decode_cbor(bytes.substr(0, size)));
--- a/src/runtime/worker_thread.cpp
+++ b/src/runtime/worker_thread.cpp
@@ -13,14 +13,14 @@
 namespace reachridge {
 namespace {
 
-// What goes through the pipe of jobs is the address of a job, whole or not at all.
+// Each message in the job pipe is the address of a job. Pipe writes of this size are atomic.
 constexpr auto address_bytes = sizeof(void*);
 
-// Signals are handled on the event loop's thread.
+// Blocks all signals in the calling thread, because the thread of the event loop handles them.
 auto block_signals() -> void {
-  auto all = sigset_t();
-  sigfillset(&all);
-  pthread_sigmask(SIG_BLOCK, &all, nullptr);
+  auto every_signal = sigset_t();
+  sigfillset(&every_signal);
+  pthread_sigmask(SIG_BLOCK, &every_signal, nullptr);
 }
 
 auto write_whole(int descriptor, const void* bytes, std::size_t size) -> void {
@@ -48,13 +48,13 @@
 }
 
 auto worker_thread::run(job_function work) -> task<std::string> {
-  auto mine = std::make_shared<job>();
-  mine->work = std::move(work);
-  running_ = mine;
-  submit(mine.get());
-  while (!mine->finished)
+  auto submitted = std::make_shared<job>();
+  submitted->work = std::move(work);
+  running_ = submitted;
+  submit(submitted.get());
+  while (!submitted->finished)
     co_await job_done_.wait(loop_);
-  co_return mine->error;
+  co_return submitted->error;
 }
 
 auto worker_thread::open_pipe() -> pipe_ends {
--- a/src/runtime/worker_thread.hpp
+++ b/src/runtime/worker_thread.hpp
@@ -1,4 +1,4 @@
-// The disk's own thread: the one exception to "one thread" (design 3.1).
+// The thread for blocking disk writes. It is the only exception to the rule of one thread per process (design 3.1).
 #pragma once
 #include <ev.h>
 
@@ -14,22 +14,22 @@
 
 namespace reachridge {
 
-// Runs one job at a time beside the event loop, which goes on meanwhile. A job is handed over through a pipe and
-// reported as done through another; the two threads share nothing but the job.
+// Runs one job at a time on a separate thread while the event loop continues. One pipe passes the address of the job to
+// the thread, a second pipe reports the end of the job. The two threads share only the job.
 class worker_thread {
  public:
-  // Returns the error message of the job, empty on success. Must not throw.
+  // A job returns an error message, or an empty string on success. It must not throw.
   using job_function = std::function<std::string()>;
 
-  // Throws request_error (errc::disk_failed) if there are no pipes to be had.
+  // Starts the thread. Throws request_error (errc::disk_failed) if the system cannot create the pipes.
   worker_thread(struct ev_loop* watching_loop, event_loop& loop);
   worker_thread(const worker_thread&) = delete;
   auto operator=(const worker_thread&) -> worker_thread& = delete;
-  // Waits for the job under way.
+  // Waits for the end of the current job.
   ~worker_thread();
 
-  // Runs a job and returns what it returned. Not to be called while another is under way. If the caller ends before
-  // the job does, the job goes on.
+  // Runs a job and returns its result. Must not be called while another job is running. If the caller is destroyed
+  // during the job, the job continues.
   auto run(job_function work) -> task<std::string>;
 
  private:
@@ -38,17 +38,18 @@
     std::string error;
     bool finished = false;
   };
-  using pipe_ends = std::pair<file_descriptor, file_descriptor>;  // to read from, to write to
+  using pipe_ends = std::pair<file_descriptor, file_descriptor>;  // read end, write end
   static auto open_pipe() -> pipe_ends;
-  // The thread's function: takes jobs from one descriptor and reports to the other, until it is given a null job.
+  // The main function of the thread: reads jobs from one descriptor and reports to the other, until it reads a null
+  // job.
   static auto work_loop(int jobs, int reports) -> void;
-  // Hands a job to the thread; null: it ends.
+  // Passes a job to the thread. Null ends the thread.
   auto submit(job* next) -> void;
   auto on_job_done() -> void;
 
   event_loop& loop_;
   signal job_done_;
-  std::shared_ptr<job> running_;  // kept until done, whoever still waits for it
+  std::shared_ptr<job> running_;  // kept alive until the job has finished, even without a waiting caller
   pipe_ends jobs_pipe_, done_pipe_;
   io_watcher done_watcher_;
   std::thread thread_;
--- a/src/runtime/worker_thread_test.cpp
+++ b/src/runtime/worker_thread_test.cpp
@@ -8,13 +8,13 @@
 
 #include "runtime/ev_host.hpp"
 
-// After all others: it redefines new.
+// Must be the last include, because CppUTest redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 namespace {
 using namespace reachridge;
 
-// A job that waits for one byte, and reports it.
+// Runs a job that blocks until it reads one byte. Sets `reported` to the result.
 auto run_reading_job(ev_host& machine, worker_thread& worker, int descriptor, std::string& reported) -> task<void> {
   auto work = worker_thread::job_function([descriptor] {
     auto byte = char{0};
@@ -24,9 +24,10 @@
   machine.end();
 }
 
+// Writes one byte after three turns of the loop.
 auto write_after_turns(ev_host& machine, int descriptor) -> task<void> {
   for (auto turn = 0; turn < 3; ++turn)
-    co_await sleep_until(machine, 0);  // turns of the loop, after the job was handed over
+    co_await sleep_until(machine, 0);  // so that the loop turns after the job was submitted
   auto written = ::write(descriptor, "x", 1);
   (void)written;
 }
@@ -34,8 +35,8 @@
 
 TEST_GROUP(worker_threads){};
 
-// The job waits for what only the loop can do: were the loop held, this would not end.
-TEST(worker_threads, the_loop_goes_on_while_a_job_runs) {
+// The job waits for a byte that only a task on the loop writes. If the job blocked the loop, the test would not end.
+TEST(worker_threads, the_loop_continues_while_a_job_runs) {
   auto machine = ev_host("");
   auto worker = worker_thread(machine.loop, machine);
   auto tasks = task_group(machine);
