--- a/src/runtime/cbor.cpp
+++ b/src/runtime/cbor.cpp
@@ -87,11 +87,11 @@
   // Begins an array of `size` elements or a map of `size` fields. The following items become its elements or fields.
   auto begin_container(value container, std::size_t size) -> void {
     if (open_containers_.size() >= max_depth)
-      return fail("nested too deep");
+      return fail("CBOR arrays and maps are nested too deeply");
     auto is_map = container.is_object();
     auto* inserted = insert(std::move(container));
     if (!inserted && error_.empty())
-      return fail("a container as key");
+      return fail("a CBOR map key is an array or a map");
     if (inserted && size)
       open_containers_.push_back({inserted, size, is_map, {}, false});
   }
@@ -142,7 +142,7 @@
   }
   auto insert_root(value item) -> value* {
     if (has_root_) {
-      fail("more than one value");
+      fail("more than one CBOR value");
       return nullptr;
     }
     root_ = std::move(item);
@@ -157,7 +157,7 @@
   }
   auto set_key(open_container& top, const value& item) -> void {
     if (!item.is_string())
-      return fail("a key that is no string");
+      return fail("a CBOR map key is not a string");
     top.key = std::string(item.get_string());
     top.has_key = true;
   }
@@ -166,7 +166,7 @@
     --top.remaining;
     auto [field, inserted] = top.container->get_object().emplace(top.key, std::move(item));
     if (!inserted)
-      fail("a repeated key");
+      fail("a CBOR map has a repeated key");
     return &field->value();
   }
 
@@ -194,7 +194,7 @@
   if (number <= INT64_MAX) {
     builder_of(context).add(-1 - static_cast<std::int64_t>(number));
   } else {
-    builder_of(context).fail("a number out of range");
+    builder_of(context).fail("a negative CBOR number is below the 64-bit range");
   }
 }
 
@@ -243,34 +243,34 @@
 // Sets the callbacks for all other CBOR types. Each of them reports an error.
 auto set_error_callbacks(cbor_callbacks& callbacks) -> void {
   callbacks.byte_string = [](void* context, cbor_data, std::size_t) {
-    builder_of(context).fail("a byte string");
+    builder_of(context).fail("a CBOR byte string is not supported");
   };
   callbacks.byte_string_start = [](void* context) {
-    builder_of(context).fail("an open byte string");
+    builder_of(context).fail("a CBOR byte string of indefinite length is not supported");
   };
   callbacks.string_start = [](void* context) {
-    builder_of(context).fail("an open string");
+    builder_of(context).fail("a CBOR string of indefinite length is not supported");
   };
   callbacks.indef_array_start = [](void* context) {
-    builder_of(context).fail("an open array");
+    builder_of(context).fail("a CBOR array of indefinite length is not supported");
   };
   callbacks.indef_map_start = [](void* context) {
-    builder_of(context).fail("an open map");
+    builder_of(context).fail("a CBOR map of indefinite length is not supported");
   };
   callbacks.tag = [](void* context, std::uint64_t) {
-    builder_of(context).fail("a tag");
+    builder_of(context).fail("a CBOR tag is not supported");
   };
   callbacks.float2 = [](void* context, float) {
-    builder_of(context).fail("a half float");
+    builder_of(context).fail("a 16-bit CBOR float is not supported");
   };
   callbacks.float4 = [](void* context, float) {
-    builder_of(context).fail("a short float");
+    builder_of(context).fail("a 32-bit CBOR float is not supported");
   };
   callbacks.undefined = [](void* context) {
-    builder_of(context).fail("undefined");
+    builder_of(context).fail("the CBOR value undefined is not supported");
   };
   callbacks.indef_break = [](void* context) {
-    builder_of(context).fail("a break");
+    builder_of(context).fail("a CBOR break is not supported");
   };
 }
 
@@ -301,14 +301,14 @@
   while (!bytes.empty()) {
     auto item = cbor_stream_decode(reinterpret_cast<cbor_data>(bytes.data()), bytes.size(), &callbacks, &builder);
     if (item.status != CBOR_DECODER_FINISHED)
-      throw decode_error("torn or foreign bytes");
+      throw decode_error("CBOR bytes are truncated or malformed");
     if (!builder.error().empty())
       throw decode_error(builder.error());
     bytes.remove_prefix(item.read);
     builder.end_complete_containers();
   }
   if (!builder.is_complete())
-    throw decode_error("bytes end too early");
+    throw decode_error("CBOR bytes end before the value is complete");
   return builder.take();
 }
 
@@ -323,13 +323,13 @@
 
 auto decode_with_checksum(std::string_view bytes) -> value {
   if (bytes.size() < checksum_bytes)
-    throw decode_error("shorter than its checksum");
+    throw decode_error("stored bytes are shorter than a checksum");
   auto checksum = std::uint32_t{0};
   for (auto i = 0U; i < checksum_bytes; ++i)
     checksum |= static_cast<std::uint32_t>(static_cast<unsigned char>(bytes[i])) << (byte_bits * i);
   auto body = bytes.substr(checksum_bytes);
   if (crc_32(body) != checksum)
-    throw decode_error("checksum differs");
+    throw decode_error("stored bytes do not match their checksum");
   return decode_cbor(body);
 }
 
--- a/src/runtime/durable_env_test.cpp
+++ b/src/runtime/durable_env_test.cpp
@@ -73,7 +73,7 @@
   auto folder = scratch_folder();
   auto sync_succeeds = true;
   auto env = durable_env(leveldb::Env::Default(), [&](const std::string& path) {
-    return sync_succeeds ? sync_folder(path) : leveldb::Status::IOError(path, "for the test");
+    return sync_succeeds ? sync_folder(path) : leveldb::Status::IOError(path, "simulated failure");
   });
   auto db = open(env, folder.path());
   CHECK(db != nullptr);
--- a/src/runtime/leveldb_store.cpp
+++ b/src/runtime/leveldb_store.cpp
@@ -125,13 +125,13 @@
   if (!error.empty())
     throw request_error(errc::disk_failed, error, execution_outcome::unknown);
   database_ = std::move(*opened);
-  log(log_level::info, log_name, "the data folder is open again");
+  log(log_level::info, log_name, "reopened the data folder after a failed write");
 }
 
 auto leveldb_store::open_database() const -> leveldb::DB& {
   if (!database_)
-    throw request_error(errc::disk_failed, "the data folder is being opened again", execution_outcome::not_executed,
-                        retry_after_reopen_ms);
+    throw request_error(errc::disk_failed, "the data folder is closed after a failed write and not reopened yet",
+                        execution_outcome::not_executed, retry_after_reopen_ms);
   return *database_;
 }
 
--- a/src/runtime/leveldb_store_test.cpp
+++ b/src/runtime/leveldb_store_test.cpp
@@ -62,9 +62,9 @@
 auto sync_result(store& disk) -> task<std::string> {
   try {
     co_await disk.sync();
-    co_return "taken ";
+    co_return "synced ";
   } catch (const request_error& error) {
-    co_return error.code_text() + (disk.failed() ? " broken " : " ");
+    co_return error.code_text() + (disk.failed() ? " store_failed " : " ");
   }
 }
 
@@ -86,7 +86,7 @@
     co_await sleep_for(machine, 50 * millisecond);
   disk.put("c", "3");
   co_await disk.sync();
-  results += "and again";
+  results += "recovered";
   machine.end();
 }
 
@@ -164,6 +164,6 @@
       return write_on_full_disk(machine, limit, results);
     });
   }
-  STRCMP_EQUAL("disk broken disk broken and again", results.c_str());
+  STRCMP_EQUAL("disk store_failed disk store_failed recovered", results.c_str());
   STRCMP_EQUAL("a:1 b0:8000 b1:8000 c:1 ", value_sizes_in(folder.path()).c_str());
 }
--- a/src/runtime/log.cpp
+++ b/src/runtime/log.cpp
@@ -93,7 +93,7 @@
 
 auto dump_log(const std::string& reason) -> void {
   auto& dumped = ring();
-  log(log_level::warning, "ring", "written out: " + reason);
+  log(log_level::warning, "ring", "log dump: " + reason);
   if (dumped.folder.empty())
     return;
   auto number = dumped.dumps++ % max_dump_files;
--- a/src/runtime/scratch_folder.hpp
+++ b/src/runtime/scratch_folder.hpp
@@ -13,7 +13,7 @@
   scratch_folder() {
     char name[] = "/tmp/reachridge-test-XXXXXX";
     if (!::mkdtemp(name))
-      throw std::runtime_error("no folder for the test can be made");
+      throw std::runtime_error("cannot create a temporary folder under /tmp");
     path_ = name;
   }
   scratch_folder(const scratch_folder&) = delete;
--- a/src/runtime/store_model.hpp
+++ b/src/runtime/store_model.hpp
@@ -61,7 +61,7 @@
       default:
         co_await disk.sync();
         if (!disk.all_durable())
-          difference = "after a sync something waits, step " + std::to_string(step);
+          difference = "changes are not durable after a sync, step " + std::to_string(step);
     }
     auto expected = model.find(key);
     auto found = disk.get(key);
--- a/src/runtime/value.cpp
+++ b/src/runtime/value.cpp
@@ -13,7 +13,7 @@
 auto get_int(const value& from, std::string_view key) -> std::int64_t {
   const auto& field = get_value(from, key);
   if (!field.is_int64())
-    throw decode_error("no number " + std::string(key));
+    throw decode_error("missing or non-integer field " + std::string(key));
   return field.get_int64();
 }
 
@@ -25,7 +25,7 @@
 auto get_string(const value& from, std::string_view key) -> std::string {
   const auto& field = get_value(from, key);
   if (!field.is_string())
-    throw decode_error("no string " + std::string(key));
+    throw decode_error("missing or non-string field " + std::string(key));
   return std::string(field.get_string());
 }
 
--- a/src/runtime/worker_thread_test.cpp
+++ b/src/runtime/worker_thread_test.cpp
@@ -18,7 +18,7 @@
 auto run_reading_job(ev_host& machine, worker_thread& worker, int descriptor, std::string& reported) -> task<void> {
   auto work = worker_thread::job_function([descriptor] {
     auto byte = char{0};
-    return ::read(descriptor, &byte, 1) == 1 ? std::string("heard ") + byte : std::string("torn");
+    return ::read(descriptor, &byte, 1) == 1 ? std::string("received ") + byte : std::string("read failed");
   });
   reported = co_await worker.run(std::move(work));
   machine.end();
@@ -44,9 +44,9 @@
   LONGS_EQUAL(0, ::pipe2(ends.data(), O_CLOEXEC));
   auto input = file_descriptor(ends[0]);
   auto output = file_descriptor(ends[1]);
-  auto reported = std::string("nothing");
+  auto reported = std::string("no result");
   tasks.spawn(run_reading_job(machine, worker, input.get(), reported));
   tasks.spawn(write_after_turns(machine, output.get()));
   machine.run();
-  STRCMP_EQUAL("heard x", reported.c_str());
+  STRCMP_EQUAL("received x", reported.c_str());
 }
--- a/src/storage/log_entry_test.cpp
+++ b/src/storage/log_entry_test.cpp
@@ -46,13 +46,15 @@
 }
 
 TEST(partition_log_entries, a_missing_field_is_named) {
-  STRCMP_EQUAL("no string k", decode_failure(object{}).c_str());
-  STRCMP_EQUAL("no number d", decode_failure(object{{"k", "c"}, {"d", "1"}}).c_str());
-  STRCMP_EQUAL("no string b",
+  STRCMP_EQUAL("missing or non-string field k", decode_failure(object{}).c_str());
+  STRCMP_EQUAL("missing or non-integer field d", decode_failure(object{{"k", "c"}, {"d", "1"}}).c_str());
+  STRCMP_EQUAL("missing or non-string field b",
                decode_failure(object{{"k", "p"}, {"t", "a/x"}, {"d", "c"}, {"s", 5}, {"w", 17}}).c_str());
-  STRCMP_EQUAL("no number a", decode_failure(object{{"k", "s"}, {"i", "s"}, {"t", "a/x"}, {"d", "w"}}).c_str());
-  STRCMP_EQUAL("no string i", decode_failure(object{{"k", "e"}}).c_str());
-  STRCMP_EQUAL("no number resend", decode_failure(object{{"k", "l"}, {"keep", 0}, {"n", 1}}).c_str());
+  STRCMP_EQUAL("missing or non-integer field a",
+               decode_failure(object{{"k", "s"}, {"i", "s"}, {"t", "a/x"}, {"d", "w"}}).c_str());
+  STRCMP_EQUAL("missing or non-string field i", decode_failure(object{{"k", "e"}}).c_str());
+  STRCMP_EQUAL("missing or non-integer field resend",
+               decode_failure(object{{"k", "l"}, {"keep", 0}, {"n", 1}}).c_str());
 }
 
 TEST(partition_log_entries, only_clock_entries_may_wait_for_their_sync) {
