--- a/src/runtime/scratch_folder.hpp
+++ b/src/runtime/scratch_folder.hpp
@@ -1,4 +1,4 @@
-// For tests: a folder of their own.
+// Temporary folders for tests.
 #pragma once
 #include <cstdlib>
 #include <filesystem>
@@ -7,13 +7,13 @@
 
 namespace reachridge {
 
-// A new folder, removed with all that is in it at the end.
+// Creates a new folder under /tmp. The destructor removes the folder and its contents.
 class scratch_folder {
  public:
   scratch_folder() {
     char name[] = "/tmp/reachridge-test-XXXXXX";
     if (!::mkdtemp(name))
-      throw std::runtime_error("no folder for the test can be made");
+      throw std::runtime_error("cannot create a temporary folder under /tmp");
     path_ = name;
   }
   scratch_folder(const scratch_folder&) = delete;
