--- a/tools/reachctl/console.cpp
+++ b/tools/reachctl/console.cpp
@@ -11,7 +11,7 @@
 
 constexpr auto request_timeout = 5 * second;
 constexpr auto poll_interval = 200 * millisecond;
-constexpr auto one_line_size = std::size_t{60};  // JSON of less than this stands beside its key
+constexpr auto one_line_size = std::size_t{60};  // shorter JSON is printed on the line of its key
 
 constexpr auto status_ok = 200;
 constexpr auto status_unavailable = 503;
@@ -25,7 +25,7 @@
   return !item.is_structured() || to_json(item).size() < one_line_size;
 }
 
-// A value as lines, indented by two spaces a level.
+// Prints a value to stdout, one field or element a line, indented by two spaces for each level.
 auto print_indented(const value& item, int level) -> void {
   auto indent = std::string(static_cast<std::size_t>(level) * 2, ' ');
   if (item.is_array()) {
@@ -53,7 +53,7 @@
 auto read_file(const std::string& file) -> std::string {
   auto input = std::ifstream(file);
   if (!input)
-    throw request_error(errc::usage, file + " cannot be read");
+    throw request_error(errc::usage, file + ": file cannot be read");
   auto content = std::ostringstream();
   content << input.rdbuf();
   return content.str();
@@ -76,7 +76,7 @@
       auto body = to_json(object{{"cell", argument}});
       co_return co_await show("POST", "/v1/refound", body);
     }
-    case operation::check:  // needs no deployment: main does it
+    case operation::check:  // main() handles this operation without a deployment
     case operation::read_page:
       break;
   }
@@ -90,14 +90,14 @@
 }
 
 auto console::drain() -> task<int> {
-  auto order = drain_target();
-  order["kind"] = options_.drain_kind;
-  auto body = to_json(order);
+  auto request = drain_target();
+  request["kind"] = options_.drain_kind;
+  auto body = to_json(request);
   auto status = co_await show("POST", "/v1/leave", body);
   if (status != done || options_.wait_s == 0)
     co_return status;
-  auto row = options_.zone.empty() ? options_.argument : zone_key(options_.zone);
-  co_return co_await wait_until_true("/v1/leave", row, "done");
+  auto entry_name = options_.zone.empty() ? options_.argument : zone_key(options_.zone);
+  co_return co_await wait_until_true("/v1/leave", entry_name, "done");
 }
 
 auto console::drain_target() const -> object {
@@ -107,15 +107,15 @@
 }
 
 auto console::ask(std::string method, std::string path, std::string body) -> task<http_reply> {
-  auto last = http_reply();
+  auto last_reply = http_reply();
   for (const auto& address : options_.addresses) {
     auto reply = co_await fetch(host_, address, method, path, body, host_.now() + request_timeout);
     if (reply.status > 0 && reply.status != status_unavailable)
       co_return reply;
     if (reply.status > 0)
-      last = reply;
+      last_reply = reply;
   }
-  co_return last;
+  co_return last_reply;
 }
 
 auto console::show(std::string method, std::string path, std::string body) -> task<int> {
@@ -124,14 +124,14 @@
 }
 
 auto console::wait_until_true(std::string path, std::string name, std::string key) -> task<int> {
-  auto end = host_.now() + options_.wait_s * second;
+  auto deadline = host_.now() + options_.wait_s * second;
   while (true) {
     auto reply = co_await ask("GET", path, "");
-    const auto& row = name.empty() ? reply.body : get_value(reply.body, name);
-    auto is_true = reply.status == status_ok && get_bool(row, key);
-    if (is_true || host_.now() >= end) {
+    const auto& entry = name.empty() ? reply.body : get_value(reply.body, name);
+    auto condition_holds = reply.status == status_ok && get_bool(entry, key);
+    if (condition_holds || host_.now() >= deadline) {
       auto status = print(reply);
-      co_return status == done && !is_true ? not_yet : status;
+      co_return status == done && !condition_holds ? not_yet : status;
     }
     co_await sleep_for(host_, poll_interval);
   }
@@ -139,7 +139,7 @@
 
 auto console::print(const http_reply& reply) const -> exit_status {
   if (reply.status == 0) {
-    std::cerr << "nobody answered; the request may have run\n";
+    std::cerr << "no node answered; the request may have been carried out\n";
     return unreached;
   }
   if (options_.json || reply.body.is_null())
--- a/tools/reachctl/main.cpp
+++ b/tools/reachctl/main.cpp
@@ -1,4 +1,4 @@
-// reachctl: the operators' command line (docs/operators.md).
+// reachctl: command line tool for operators (docs/operators.md).
 #include <iostream>
 
 #include "configuration/compiled_configuration.hpp"
@@ -9,9 +9,10 @@
 namespace reachridge {
 namespace {
 
+// Compiles a configuration file without contacting a node. Throws request_error if the file is invalid.
 auto check_configuration(const std::string& file) -> exit_status {
   auto compiled = compile_configuration(read_file(file));
-  std::cout << "charter " << compiled->number << ": " << compiled->spaces.size() << " spaces, rules compiled to "
+  std::cout << "configuration " << compiled->number << ": " << compiled->spaces.size() << " spaces, rules compiled to "
             << compiled->rules.size() << " steps\n";
   return done;
 }
@@ -21,6 +22,7 @@
   host.end();
 }
 
+// Runs the command in an event loop and returns the exit status.
 auto run_console(const options& chosen) -> int {
   auto host = ev_host("");
   auto tasks = task_group(host);
--- a/tools/reachctl/options.cpp
+++ b/tools/reachctl/options.cpp
@@ -13,30 +13,30 @@
 namespace {
 
 constexpr auto commands_help = R"(commands:
-  check FILE          compile a charter here; say every fault
-  put FILE            send a charter (--dry: check against the fleet, change nothing)
-  charter             read the newest accepted charter
-  held N              has charter N taken hold? (--wait S: until it has)
-  leave NAME          empty a comb: --kind drain, evacuate or retire (--wait S: until done)
-  leave --zone ZONE   evacuate a whole zone: combs hand their cells over, new links go elsewhere
-  stay NAME           take a leaving back, unless it is a done retirement
-  stay --zone ZONE    end the evacuation of a zone
-  refound CELL        begin a cell anew whose every copy is lost; what it kept is forsaken
-  leavings            who leaves, what is left there
-  members             who has a session, and at which queen
-  cells               who holds each cell, at which epoch
-  voters              who votes in the ledger, how each is, and whether a change is under way
-  status              what the node at --at says of itself
-  ring                the log ring of the node at --at
-
-exit: 0 done or yes, 1 refused, 2 wrong usage, 3 nobody answered (it may have run), 4 not yet
+  check FILE          compile a configuration locally and report every error
+  put FILE            send a configuration (--dry: validate it against the cluster, change nothing)
+  charter             show the latest accepted configuration
+  held N              show whether configuration N is in force (--wait S: wait until it is)
+  leave NAME          drain a storage node: --kind drain, evacuate or retire (--wait S: wait until done)
+  leave --zone ZONE   evacuate a zone: its storage nodes hand their partitions over, new connections go elsewhere
+  stay NAME           cancel a drain, unless it is a completed retirement
+  stay --zone ZONE    cancel the evacuation of a zone
+  refound CELL        recreate a partition that has lost all replicas; its data is lost
+  leavings            list the drains and what is left on each node
+  members             list the members with a session, and the control node of each session
+  cells               list the replicas and the epoch of each partition
+  voters              list the voters of the replicated log, their state and any change in progress
+  status              show the status of the node at --at
+  ring                show the recent log of the node at --at
+
+exit: 0 done or yes, 1 refused, 2 wrong usage, 3 no answer (the request may have been carried out), 4 not yet
 )";
 
 struct command {
   std::string_view name;
-  std::size_t arguments;  // words that stand after it
+  std::size_t arguments;  // number of words after the command
   operation requested;
-  std::string_view page;  // of read_page
+  std::string_view page;  // path that read_page requests
 };
 constexpr command commands[] = {{"check", 1, operation::check, ""},
                                 {"put", 1, operation::put, ""},
@@ -53,13 +53,13 @@
                                 {"ring", 0, operation::read_page, "/ring"}};
 
 auto find_command(const std::string& name) -> const command* {
-  for (const auto& row : commands)
-    if (row.name == name)
-      return &row;
+  for (const auto& entry : commands)
+    if (entry.name == name)
+      return &entry;
   return nullptr;
 }
 
-// A string that popt has allocated.
+// Owns a string that popt has allocated.
 class popt_string {
  public:
   popt_string() = default;
@@ -68,10 +68,11 @@
   ~popt_string() {
     std::free(text_);
   }
+  // Returns the address to which popt writes the string.
   auto target() -> char** {
     return &text_;
   }
-  // None: the option was not given.
+  // Returns no value if the option was not given.
   [[nodiscard]] auto get() const -> std::optional<std::string> {
     return text_ ? std::optional<std::string>(text_) : std::nullopt;
   }
@@ -80,7 +81,7 @@
   char* text_ = nullptr;
 };
 
-// The command line as it stands, before it is checked.
+// The command line as popt has parsed it, before validation.
 struct raw_options {
   std::vector<std::string> words;
   std::optional<std::string> addresses;
@@ -91,50 +92,52 @@
   bool dry_run = false;
 };
 
-auto wrong_usage(const std::string& why) -> parsed_options {
-  std::cerr << why << "\n\nusage: reachctl --at IP:PORT,... COMMAND\n" << commands_help;
+// Prints an error and the usage to stderr.
+auto wrong_usage(const std::string& error) -> parsed_options {
+  std::cerr << error << "\n\nusage: reachctl --at IP:PORT,... COMMAND\n" << commands_help;
   return {{}, usage};
 }
 
-// The command and its words into `chosen`. Returns what is wrong with them; empty: nothing.
-auto take_command(const raw_options& raw, options& chosen) -> std::string {
+// Copies the command and its arguments into `chosen`. Returns an error text, which is empty on success.
+auto parse_command(const raw_options& raw, options& chosen) -> std::string {
   if (raw.words.empty())
-    return "no command";
+    return "no command given";
   const auto& name = raw.words[0];
   const auto* found = find_command(name);
   if (!found)
     return "'" + name + "' is no command";
   auto takes_zone = found->requested == operation::drain || found->requested == operation::undrain;
   if (raw.zone && !takes_zone)
-    return "zone: goes with leave and stay";
-  auto wanted = raw.zone ? 0 : found->arguments;
-  if (raw.words.size() != wanted + 1)
-    return "'" + name + "' wants " + std::to_string(wanted) + " word(s) after it";
+    return "option zone is only valid for the commands leave and stay";
+  auto expected = raw.zone ? 0 : found->arguments;
+  if (raw.words.size() != expected + 1)
+    return "'" + name + "' expects " + std::to_string(expected) + " argument(s)";
   chosen.requested = found->requested;
   chosen.page = found->page;
-  if (wanted > 0)
+  if (expected > 0)
     chosen.argument = raw.words[1];
   return {};
 }
 
-auto take_addresses(const std::string& list, options& chosen) -> std::string {
+// Splits a list of addresses at its commas into `chosen`. Returns an error text, which is empty on success.
+auto parse_addresses(const std::string& list, options& chosen) -> std::string {
   auto input = std::istringstream(list);
   for (auto address = std::string(); std::getline(input, address, ',');) {
     if (!is_address(address))
-      return "at: '" + address + "' is no IP:PORT";
+      return "option at: '" + address + "' is not of the form IP:PORT";
     chosen.addresses.push_back(address);
   }
   return {};
 }
 
-auto check(const raw_options& raw) -> parsed_options {
+auto validate(const raw_options& raw) -> parsed_options {
   auto chosen = options();
-  if (auto fault = take_addresses(raw.addresses.value_or(""), chosen); !fault.empty())
-    return wrong_usage(fault);
-  if (auto fault = take_command(raw, chosen); !fault.empty())
-    return wrong_usage(fault);
+  if (auto error = parse_addresses(raw.addresses.value_or(""), chosen); !error.empty())
+    return wrong_usage(error);
+  if (auto error = parse_command(raw, chosen); !error.empty())
+    return wrong_usage(error);
   if (chosen.requested != operation::check && chosen.addresses.empty())
-    return wrong_usage("at: is missing");
+    return wrong_usage("option at is missing");
   if (raw.zone)
     chosen.drain_kind = "evacuate";
   if (raw.drain_kind)
@@ -157,14 +160,14 @@
   auto dry_run = 0;
   auto help = 0;
   poptOption table[] = {
-      {"at", 'a', POPT_ARG_STRING, addresses.target(), 0, "HTTP addresses of queens (or of one node), commas between",
-       "IP:PORT,..."},
-      {"kind", 'k', POPT_ARG_STRING, drain_kind.target(), 0, "of a leaving: drain, evacuate, retire", "KIND"},
-      {"zone", 'z', POPT_ARG_STRING, zone.target(), 0, "a whole zone, in place of a name", "ZONE"},
-      {"wait", 'w', POPT_ARG_INT, &raw.wait_s, 0, "seconds to wait for it", "S"},
-      {"json", 'j', POPT_ARG_NONE, &json, 0, "print the JSON as it came", nullptr},
-      {"dry", 'n', POPT_ARG_NONE, &dry_run, 0, "change nothing", nullptr},
-      {"help", 'h', POPT_ARG_NONE, &help, 0, "this text", nullptr},
+      {"at", 'a', POPT_ARG_STRING, addresses.target(), 0,
+       "comma-separated HTTP addresses of control nodes (or of one node)", "IP:PORT,..."},
+      {"kind", 'k', POPT_ARG_STRING, drain_kind.target(), 0, "kind of drain: drain, evacuate or retire", "KIND"},
+      {"zone", 'z', POPT_ARG_STRING, zone.target(), 0, "a whole zone instead of a node name", "ZONE"},
+      {"wait", 'w', POPT_ARG_INT, &raw.wait_s, 0, "seconds to wait for completion", "S"},
+      {"json", 'j', POPT_ARG_NONE, &json, 0, "print the reply as JSON", nullptr},
+      {"dry", 'n', POPT_ARG_NONE, &dry_run, 0, "validate only, change nothing", nullptr},
+      {"help", 'h', POPT_ARG_NONE, &help, 0, "print this help", nullptr},
       {nullptr, '\0', 0, nullptr, 0, nullptr, nullptr}};
   auto context = std::unique_ptr<poptContext_s, decltype(&poptFreeContext)>(
       poptGetContext(nullptr, argc, argv, table, 0), &poptFreeContext);
@@ -182,7 +185,7 @@
   raw.zone = zone.get();
   raw.json = json != 0;
   raw.dry_run = dry_run != 0;
-  return check(raw);
+  return validate(raw);
 }
 
 }  // namespace reachridge
