--- a/tools/statediff/main.cpp
+++ b/tools/statediff/main.cpp
@@ -1,5 +1,5 @@
-// statediff: compares what two nodes report in /status, watches how long each difference lasts and says which of them
-// break an invariant (docs/operators.md). One line a difference, or JSON.
+// statediff: compares the /status reports of two nodes, measures how long each difference lasts and reports the
+// differences that violate an invariant (docs/operators.md). Prints one line for each difference, or JSON.
 #include <popt.h>
 
 #include <algorithm>
@@ -16,56 +16,58 @@
 namespace reachridge {
 namespace {
 
-// Exit statuses, in the order of their weight but for `usage` and `unreached`, after which nothing is compared.
+// Exit statuses in order of severity, except `usage` and `unreached`: they mean that no comparison took place.
 enum exit_status : int { same = 0, differs = 1, usage = 2, unreached = 3, violates = 4 };
 
 constexpr auto request_timeout = 3 * second;
 constexpr auto poll_interval = 250 * millisecond;
 
+// Command line options.
 struct options {
   std::string left_address;
   std::string right_address;
   int watch_s = 4;
-  int json = 0;  // popt sets it to 1
+  int json = 0;  // popt sets this to 1 if the option is given
 };
 
-// The differences of the latest comparison and since when each lasts.
+// Holds the differences of the latest comparison and the time at which each was first seen.
 class difference_history {
  public:
+  // Replaces the differences. A difference with a known description keeps the time of its first observation.
   auto update(std::vector<difference> latest, monotonic_time now) -> void {
-    auto still_there = std::map<std::string, monotonic_time>();
+    auto remaining = std::map<std::string, monotonic_time>();
     for (const auto& item : latest) {
       auto earlier = first_seen_.find(item.description);
-      still_there[item.description] = earlier == first_seen_.end() ? now : earlier->second;
+      remaining[item.description] = earlier == first_seen_.end() ? now : earlier->second;
     }
-    first_seen_ = std::move(still_there);
+    first_seen_ = std::move(remaining);
     latest_ = std::move(latest);
   }
   [[nodiscard]] auto empty() const -> bool {
     return latest_.empty();
   }
-  // Writes the differences to stdout.
+  // Writes the differences to stdout and returns the status of the most severe one.
   [[nodiscard]] auto report(monotonic_time now, bool json) const -> exit_status {
     auto status = same;
-    auto rows = array();
+    auto json_rows = array();
     for (const auto& item : latest_) {
       auto age_ms = (now - first_seen_.at(item.description)) / millisecond;
       auto violation = item.violation || (item.allowed_ms >= 0 && age_ms > item.allowed_ms);
       status = std::max(status, violation ? violates : differs);
       if (json)
-        rows.push_back(object{{"what", item.description},
-                              {"left", item.left},
-                              {"right", item.right},
-                              {"age_ms", age_ms},
-                              {"breaks_rule", violation}});
+        json_rows.push_back(object{{"what", item.description},
+                                   {"left", item.left},
+                                   {"right", item.right},
+                                   {"age_ms", age_ms},
+                                   {"breaks_rule", violation}});
       else
         std::cout << item.description << ": " << item.left << " | " << item.right << "  for " << age_ms << " ms"
-                  << (violation ? "  BREAKS A RULE" : "") << '\n';
+                  << (violation ? "  VIOLATES AN INVARIANT" : "") << '\n';
     }
     if (json)
-      std::cout << to_json(rows) << '\n';
+      std::cout << to_json(json_rows) << '\n';
     else if (latest_.empty())
-      std::cout << "they agree\n";
+      std::cout << "the nodes agree\n";
     return status;
   }
 
@@ -74,7 +76,7 @@
   std::map<std::string, monotonic_time> first_seen_;  // by description
 };
 
-// The address of the first node that did not answer; none: both did.
+// Returns the address of the first node that did not answer, or no value if both answered.
 auto unreached_address(const options& chosen, const http_reply& left, const http_reply& right)
     -> std::optional<std::string> {
   if (left.status != 200)
@@ -84,10 +86,11 @@
   return {};
 }
 
-// Compares until both nodes agree or the time is over, reports and stops the event loop.
+// Compares the nodes repeatedly until they agree or the watch time is over, reports the differences and stops the event
+// loop.
 auto watch_differences(ev_host& host, options chosen, int& status) -> task<void> {
   auto history = difference_history();
-  auto begin = host.now();
+  auto started_at = host.now();
   while (true) {
     auto left = co_await fetch(host, chosen.left_address, "GET", "/status", "", host.now() + request_timeout);
     auto right = co_await fetch(host, chosen.right_address, "GET", "/status", "", host.now() + request_timeout);
@@ -98,7 +101,7 @@
       co_return;
     }
     history.update(compare(left.body, right.body), host.now());
-    auto time_is_over = host.now() - begin >= chosen.watch_s * second;
+    auto time_is_over = host.now() - started_at >= chosen.watch_s * second;
     if (history.empty() || time_is_over)
       break;
     co_await sleep_for(host, poll_interval);
@@ -107,19 +110,19 @@
   host.end();
 }
 
-// Reads the command line; none: it cannot be used, and stderr says why.
+// Parses the command line. Returns no value and writes an error to stderr if the command line is invalid.
 auto parse_options(int argc, const char** argv) -> std::optional<options> {
   auto chosen = options();
   poptOption table[] = {
-      {"for", 'f', POPT_ARG_INT, &chosen.watch_s, 0, "seconds to watch differences that last (4)", "S"},
+      {"for", 'f', POPT_ARG_INT, &chosen.watch_s, 0, "seconds to watch lasting differences (default 4)", "S"},
       {"json", 'j', POPT_ARG_NONE, &chosen.json, 0, "print JSON", nullptr},
       {nullptr, '\0', POPT_ARG_INCLUDE_TABLE, poptHelpOptions, 0, "Help options:", nullptr},
       {nullptr, '\0', 0, nullptr, 0, nullptr, nullptr}};
   auto context = std::unique_ptr<poptContext_s, decltype(&poptFreeContext)>(
       poptGetContext(nullptr, argc, argv, table, 0), &poptFreeContext);
-  poptSetOtherOptionHelp(
-      context.get(),
-      "IP:PORT IP:PORT\n  exit: 0 they agree, 1 they differ, 2 wrong usage, 3 one is not reached, 4 a rule is broken");
+  poptSetOtherOptionHelp(context.get(),
+                         "IP:PORT IP:PORT\n  exit: 0 the nodes agree, 1 they differ, 2 wrong usage, 3 a node did not "
+                         "answer, 4 an invariant is violated");
   if (auto result = poptGetNextOpt(context.get()); result < -1) {
     std::cerr << poptBadOption(context.get(), 0) << ": " << poptStrerror(result) << '\n';
     return {};
@@ -128,7 +131,7 @@
   const auto* right = poptGetArg(context.get());
   auto two_arguments = left && right && !poptGetArg(context.get());
   if (!two_arguments || !is_address(left) || !is_address(right)) {
-    std::cerr << "statediff wants two HTTP addresses of nodes\n";
+    std::cerr << "statediff: expects the HTTP addresses (IP:PORT) of two nodes\n";
     return {};
   }
   chosen.left_address = left;
--- a/tools/statediff/state_difference.hpp
+++ b/tools/statediff/state_difference.hpp
@@ -1,4 +1,4 @@
-// Compares the status reports of two nodes and says which differences break an invariant (design 8).
+// Compares the status reports of two nodes and marks the differences that violate an invariant (design 8).
 #pragma once
 #include <cstdint>
 #include <string>
@@ -10,15 +10,15 @@
 
 // One point in which two status reports differ.
 struct difference {
-  std::string description;  // stable over time: the age of a difference is counted by it
-  std::string left;         // what each of the two nodes reports, as text for an operator
+  std::string description;  // stable key of the difference; its age is counted by this text
+  std::string left;         // values reported by the two nodes, as text for operators
   std::string right;
-  bool violation = false;        // it breaks an invariant at once
-  std::int64_t allowed_ms = -1;  // milliseconds it may last; after that it breaks an invariant; -1: for ever
+  bool violation = false;        // violates an invariant at any age
+  std::int64_t allowed_ms = -1;  // a longer-lasting difference violates an invariant; -1: no limit
 };
 
-// Compares two replies to GET /status. Fields that are missing count as null or 0, but for the kind of a view's filter
-// ("need"), without which it throws decode_error.
+// Compares two replies to GET /status. Missing fields count as null or 0. Throws decode_error if the filter of a view
+// ("need") has no kind.
 [[nodiscard]] auto compare(const value& left, const value& right) -> std::vector<difference>;
 
 }  // namespace reachridge
--- a/tools/statediff/state_difference_test.cpp
+++ b/tools/statediff/state_difference_test.cpp
@@ -7,28 +7,29 @@
 #include <CppUTest/TestHarness.h>
 
 TEST_GROUP(state_difference_tests){};
-TEST(state_difference_tests, two_readings_of_one_epoch_break_a_rule) {
-  auto a = boost::json::parse(
+// Different primaries within one epoch violate an invariant; the same difference across epochs does not.
+TEST(state_difference_tests, two_assignments_of_one_epoch_violate_an_invariant) {
+  auto first = boost::json::parse(
       R"({"beliefs":{"charter":3,"cells":{"s/0":{"epoch":4,"prim":"x/1","back":"y/1","step":["x/1","y/1"]}},"members":{"x":{}}}})");
-  CHECK(reachridge::compare(a, a).empty());
-  auto b = boost::json::parse(
+  CHECK(reachridge::compare(first, first).empty());
+  auto second = boost::json::parse(
       R"({"beliefs":{"charter":2,"cells":{"s/0":{"epoch":4,"prim":"y/1","back":"y/1","step":["x/1","y/1"]}},"members":{}}})");
-  auto d = reachridge::compare(a, b);
-  LONGS_EQUAL(3, d.size());
-  STRCMP_EQUAL("charter", d[0].description.c_str());
-  CHECK_FALSE(d[0].violation);
-  STRCMP_EQUAL("cell s/0 prim", d[1].description.c_str());
-  CHECK(d[1].violation);
-  STRCMP_EQUAL("member x", d[2].description.c_str());
-  auto c = boost::json::parse(
+  auto found = reachridge::compare(first, second);
+  LONGS_EQUAL(3, found.size());
+  STRCMP_EQUAL("charter", found[0].description.c_str());
+  CHECK_FALSE(found[0].violation);
+  STRCMP_EQUAL("partition s/0 prim", found[1].description.c_str());
+  CHECK(found[1].violation);
+  STRCMP_EQUAL("member x", found[2].description.c_str());
+  auto third = boost::json::parse(
       R"({"beliefs":{"charter":3,"cells":{"s/0":{"epoch":5,"prim":"y/1","back":"","step":["y/1"]}},"members":{"x":{}}}})");
-  for (auto& p : reachridge::compare(a, c))
-    CHECK_FALSE(p.violation);
+  for (auto& item : reachridge::compare(first, third))
+    CHECK_FALSE(item.violation);
 }
-TEST(state_difference_tests, two_primaries_of_one_epoch) {
-  auto a = boost::json::parse(R"({"cells":{"s/0":{"role":"primary","epoch":4,"last":9}}})");
-  auto b = boost::json::parse(R"({"cells":{"s/0":{"role":"primary","epoch":4,"last":7}}})");
-  CHECK(reachridge::compare(a, b)[0].violation);
-  auto c = boost::json::parse(R"({"cells":{"s/0":{"role":"backup","epoch":4,"last":7}}})");
-  CHECK_FALSE(reachridge::compare(a, c)[0].violation);
+TEST(state_difference_tests, two_primaries_of_one_epoch_violate_an_invariant) {
+  auto first = boost::json::parse(R"({"cells":{"s/0":{"role":"primary","epoch":4,"last":9}}})");
+  auto second = boost::json::parse(R"({"cells":{"s/0":{"role":"primary","epoch":4,"last":7}}})");
+  CHECK(reachridge::compare(first, second)[0].violation);
+  auto third = boost::json::parse(R"({"cells":{"s/0":{"role":"backup","epoch":4,"last":7}}})");
+  CHECK_FALSE(reachridge::compare(first, third)[0].violation);
 }
