--- a/tools/local_cluster/consistency_checker.hpp
+++ b/tools/local_cluster/consistency_checker.hpp
@@ -1,4 +1,5 @@
-// The checker: reads what stand-ins saw and knows nothing of the product's code (design 9.3).
+// Checks the recorded history of a run against the guarantees of the service (design 9.3). The checker reads only what
+// clients and operators observed and shares no code with the service.
 #pragma once
 #include <string>
 #include <vector>
@@ -7,34 +8,36 @@
 
 namespace reachridge {
 
-// What was seen, in order of time (`t` in milliseconds):
-//  space   name keep_s resend_s            what the operator set
-//  try     who topic seq body              a publish left a client
-//  error who topic seq error retry     its answer: acked, refused, unclear; retry -1: final
-//  final   who topic seq error           the client is through with it: acked, refused, abandoned
-//  sub     who topic after(-1: anew)       a subscribe left a client
-//  subbed  who topic pos
-//  gone    who topic after                 "cannot resume"
-//  unsub   who topic
-//  got     who topic pos from seq body
-//  held    number                          told that a configuration took hold
-//  probe   node number ok t0               a request sent at t0 that only configuration `number` allows
-//  put     number sum                  told that a configuration was accepted; sum: of its content
-//  newest  number sum t0               what reading back gave, asked at t0
-//  left    name                        told that a leaving is done
-//  leaves  names t0                    the drains that read back as done, asked at t0
-//  apply   ms                          after an acceptance, how long a node may still serve an older configuration
-//  hurt                                a fault begins
-//  mend                                the last fault has ended: all machines and paths are back
-//  seek    who                         a client looks for a link
-//  linked  who                         it has one
-//  ask     what                        an operator's call that wants an answer
-//  told    what                        it was answered
-//  budget  space ms                    the time for an ack and a delivery where there is no fault
-//  end     quiet                           the run is over; nothing was tried in the last `quiet` ms
+// A broken guarantee: the name of the rule and the events that violate it.
 struct violation {
   std::string rule, detail;
 };
-auto check_consistency(const std::vector<value>& seen) -> std::vector<violation>;
+
+// Checks events in order of time. Each event has its name in `e` and its time in milliseconds in `t`. Events with other
+// names are ignored. Throws if an event lacks a required field. Names and fields:
+//  space   name keep_s resend_s             settings of a space
+//  try     who topic seq body               a client sends a publish
+//  verdict who topic seq verdict retry pos  its answer: acked, refused or unclear; retry -1: final
+//  sub     who topic after                  a client sends a subscribe; after -1: a new subscription
+//  subbed  who topic pos                    the subscribe is accepted
+//  gone    who topic after                  the subscribe is answered with "cannot resume"
+//  unsub   who topic                        a client ends a subscription
+//  got     who topic pos from seq body      a client receives a message
+//  held    number                           an operator reads that a configuration is in force
+//  probe   node number t0                   a request sent at t0 succeeds that only this configuration allows
+//  put     number sum                       an operator's configuration is accepted; sum: of its content
+//  newest  number sum t0                    the configuration that a read sent at t0 returns
+//  left    name                             an operator reads that a drain is done
+//  leaves  names t0                         the completed drains that a read sent at t0 returns
+//  apply   ms                               limit for serving an older configuration after an acceptance
+//  hurt                                     a fault begins
+//  mend                                     the last fault has ended: all machines and paths work again
+//  seek    who                              a client starts to look for a connection
+//  linked  who                              the client has a connection
+//  ask     what                             an operator sends a request that needs an answer
+//  told    what                             the request is answered
+//  budget  space ms                         limit for acknowledgements and deliveries without faults
+//  end     quiet                            the run is over; nothing was sent in the last `quiet` ms
+auto check_consistency(const std::vector<value>& events) -> std::vector<violation>;
 
 }  // namespace reachridge
--- a/tools/local_cluster/linearizability.cpp
+++ b/tools/local_cluster/linearizability.cpp
@@ -10,7 +10,8 @@
 namespace reachridge {
 namespace {
 
-// Of a configuration: the newest one. Of a leaving: its kind in `content`, empty for none.
+// State of one object. Configuration: number and content of the newest one. Node or zone: the kind of its drain in
+// `content`, empty if it has none.
 struct object_state {
   std::int64_t number = 0;
   std::string content;
@@ -20,48 +21,48 @@
 };
 
 auto is_read(const operator_order& order) -> bool {
-  return order.kind == order_kind::read_configuration || order.kind == order_kind::read_leaving;
+  return order.kind == order_kind::read_configuration || order.kind == order_kind::read_drain;
 }
-auto changes_nothing(const operator_order& order) -> bool {
+auto leaves_state_unchanged(const operator_order& order) -> bool {
   return is_read(order) || order.outcome == order_outcome::refused;
 }
 
-// An order in a search. An optional one may as well not have been carried out.
+// An order in a search. An optional order may be left out of the explanation.
 struct candidate {
   operator_order order;
   bool optional = false;
 };
-auto candidates_of(const std::vector<operator_order>& orders) -> std::vector<candidate> {
+auto make_candidates(const std::vector<operator_order>& orders) -> std::vector<candidate> {
   auto out = std::vector<candidate>();
   for (const auto& order : orders)
     out.push_back({order, order.outcome == order_outcome::unknown});
   return out;
 }
 
-auto after_put(const object_state& state, const operator_order& order) -> std::optional<object_state> {
+auto state_after_put(const object_state& state, const operator_order& order) -> std::optional<object_state> {
   if (order.number > state.number)
     return object_state{order.number, order.content};
   if (order.number == state.number && order.content == state.content)
     return state;
   return {};
 }
-auto after_begin(const object_state& state, const operator_order& order) -> std::optional<object_state> {
+auto state_after_begin(const object_state& state, const operator_order& order) -> std::optional<object_state> {
   if (state.content == "retire" && order.content != "retire")
     return {};
   return object_state{0, order.content};
 }
 
-// The state after an order that was carried out; none if it could not be carried out there.
-auto carried_out(const object_state& state, const operator_order& order) -> std::optional<object_state> {
+// Returns the state after an order is carried out, or no value if the order is not possible in this state.
+auto state_after(const object_state& state, const operator_order& order) -> std::optional<object_state> {
   switch (order.kind) {
     case order_kind::put_configuration:
-      return after_put(state, order);
-    case order_kind::begin_leaving:
-      return after_begin(state, order);
-    case order_kind::withdraw_leaving:
+      return state_after_put(state, order);
+    case order_kind::order_drain:
+      return state_after_begin(state, order);
+    case order_kind::withdraw_drain:
       return object_state{};
     case order_kind::read_configuration:
-    case order_kind::read_leaving:
+    case order_kind::read_drain:
       if (order.number != state.number || order.content != state.content)
         return {};
       return state;
@@ -69,22 +70,22 @@
   return {};
 }
 
-// Whether the state of the object is a reason to refuse.
+// Tells whether the state of the object justifies refusing the order.
 auto may_refuse(const object_state& state, const operator_order& order) -> bool {
-  if (order.kind == order_kind::withdraw_leaving)
+  if (order.kind == order_kind::withdraw_drain)
     return state.content == "retire";
-  return !carried_out(state, order);
+  return !state_after(state, order);
 }
 
-auto rule_step(const object_state& state, const operator_order& order) -> std::optional<object_state> {
+auto apply_order(const object_state& state, const operator_order& order) -> std::optional<object_state> {
   if (order.outcome != order_outcome::refused)
-    return carried_out(state, order);
+    return state_after(state, order);
   if (!may_refuse(state, order))
     return {};
   return state;
 }
 
-// Looks for an explanation of one object's history, depth first, never twice from the same place.
+// Searches depth first for a sequence that explains the history of one object. Visited states are not searched again.
 class explanation_search {
  public:
   explanation_search(const std::vector<candidate>& orders, const order_rules& rules)
@@ -100,30 +101,31 @@
         return false;
     return true;
   }
-  // No order that was called later than this may come next.
-  [[nodiscard]] auto first_end() const -> std::int64_t {
+  // Returns the latest time at which an order may have been called to come next in the sequence.
+  [[nodiscard]] auto earliest_end() const -> std::int64_t {
     auto end = std::numeric_limits<std::int64_t>::max();
     for (auto i = std::size_t{0}; i < orders_.size(); ++i)
       if (!done_[i] && !orders_[i].optional)
         end = std::min(end, orders_[i].order.returned);
     return end;
   }
-  // It had ended, or was given up and is fenced, before something began that has been carried out by now.
-  [[nodiscard]] auto is_too_late(const candidate& one) const -> bool {
-    if (!one.optional)
+  // Tells whether an optional order can no longer be carried out: the order ended, or timed out and is fenced, before
+  // the call of an order that the sequence already contains.
+  [[nodiscard]] auto is_too_late(const candidate& item) const -> bool {
+    if (!item.optional)
       return false;
-    auto given_up = one.order.outcome == order_outcome::unknown;
-    if (given_up && !rules_.given_up_orders_are_fenced)
+    auto unanswered = item.order.outcome == order_outcome::unknown;
+    if (unanswered && !rules_.given_up_orders_are_fenced)
       return false;
     for (auto i = std::size_t{0}; i < orders_.size(); ++i) {
       const auto& other = orders_[i].order;
-      auto fences = other.outcome == order_outcome::confirmed && !changes_nothing(other);
-      if (done_[i] && (fences || !given_up) && other.called > one.order.returned)
+      auto fences = other.outcome == order_outcome::confirmed && !leaves_state_unchanged(other);
+      if (done_[i] && (fences || !unanswered) && other.called > item.order.returned)
         return true;
     }
     return false;
   }
-  // What no longer matters: carried out, or given up and too late.
+  // Marks the orders that need no further search: in the sequence already, or timed out and too late.
   [[nodiscard]] auto settled() const -> std::vector<bool> {
     auto out = done_;
     for (auto i = std::size_t{0}; i < orders_.size(); ++i)
@@ -136,11 +138,11 @@
       return true;
     if (!visited_.emplace(settled(), state).second)
       return false;
-    auto end = first_end();
+    auto end = earliest_end();
     for (auto i = std::size_t{0}; i < orders_.size(); ++i) {
       if (done_[i] || orders_[i].order.called > end || is_too_late(orders_[i]))
         continue;
-      auto next = rule_step(state, orders_[i].order);
+      auto next = apply_order(state, orders_[i].order);
       if (!next)
         continue;
       done_[i] = true;
@@ -161,16 +163,17 @@
   return explanation_search(orders, rules).run();
 }
 auto explained(const std::vector<operator_order>& orders, const order_rules& rules) -> bool {
-  return explained(candidates_of(orders), rules);
+  return explained(make_candidates(orders), rules);
 }
 
-// All orders called until `end`; what was answered later counts as given up.
-auto until(const std::vector<operator_order>& orders, std::int64_t end) -> std::vector<operator_order> {
+// Returns the orders called until `end`. Changes answered after `end` count as unanswered; reads and refusals answered
+// after `end` are left out.
+auto orders_until(const std::vector<operator_order>& orders, std::int64_t end) -> std::vector<operator_order> {
   auto out = std::vector<operator_order>();
   for (auto order : orders) {
     if (order.called > end)
       continue;
-    if (order.returned > end && changes_nothing(order))
+    if (order.returned > end && leaves_state_unchanged(order))
       continue;
     if (order.returned > end)
       order.outcome = order_outcome::unknown;
@@ -179,49 +182,51 @@
   return out;
 }
 
+// Returns the shortest prefix in time of the history that has no explanation.
 auto shortest_prefix(const std::vector<operator_order>& orders, const order_rules& rules)
     -> std::vector<operator_order> {
   auto ends = std::set<std::int64_t>();
   for (const auto& order : orders)
     ends.insert(order.returned);
   for (auto end : ends)
-    if (auto prefix = until(orders, end); !explained(prefix, rules))
+    if (auto prefix = orders_until(orders, end); !explained(prefix, rules))
       return prefix;
   return orders;
 }
 
-auto could_explain(const operator_order& change, const operator_order& seen) -> bool {
-  auto leaves_nothing = change.kind == order_kind::withdraw_leaving;
-  return leaves_nothing ? seen.content.empty() : change.content == seen.content && change.number == seen.number;
+// Tells whether the change could have produced the state that the read observed.
+auto could_explain(const operator_order& change, const operator_order& read) -> bool {
+  auto clears_content = change.kind == order_kind::withdraw_drain;
+  return clears_content ? read.content.empty() : change.content == read.content && change.number == read.number;
 }
 
-// Leaves out what the contradiction does not rest on. A change is left out only if it may as well not have been
-// carried out; until the end it stays among what could explain the rest.
-auto least_part(std::vector<operator_order> orders, const order_rules& rules) -> std::vector<operator_order> {
-  for (auto at = std::size_t{0}; at < orders.size();) {
-    auto fewer = orders;
-    fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(at));
-    if (changes_nothing(orders[at]) && !explained(fewer, rules))
-      orders = fewer;
+// Removes the orders that are not needed for the contradiction. A change is removed only if the contradiction remains
+// when the change is optional. Optional changes remain candidates for an explanation until the end.
+auto minimize(std::vector<operator_order> orders, const order_rules& rules) -> std::vector<operator_order> {
+  for (auto index = std::size_t{0}; index < orders.size();) {
+    auto shortened = orders;
+    shortened.erase(shortened.begin() + static_cast<std::ptrdiff_t>(index));
+    if (leaves_state_unchanged(orders[index]) && !explained(shortened, rules))
+      orders = shortened;
     else
-      ++at;
+      ++index;
   }
-  auto relaxed = candidates_of(orders);
-  for (auto& one : relaxed) {
-    if (changes_nothing(one.order) || one.optional)
+  auto relaxed = make_candidates(orders);
+  for (auto& entry : relaxed) {
+    if (leaves_state_unchanged(entry.order) || entry.optional)
       continue;
-    one.optional = true;
+    entry.optional = true;
     if (explained(relaxed, rules))
-      one.optional = false;
+      entry.optional = false;
   }
   auto part = std::vector<operator_order>();
-  for (const auto& one : relaxed) {
-    auto concerns = [&](const auto& other) {
-      return is_read(other.order) && could_explain(one.order, other.order);
+  for (const auto& entry : relaxed) {
+    auto is_explained_read = [&](const auto& other) {
+      return is_read(other.order) && could_explain(entry.order, other.order);
     };
-    auto given_up = one.order.outcome == order_outcome::unknown;
-    if (!one.optional || (given_up && std::any_of(relaxed.begin(), relaxed.end(), concerns)))
-      part.push_back(one.order);
+    auto unanswered = entry.order.outcome == order_outcome::unknown;
+    if (!entry.optional || (unanswered && std::any_of(relaxed.begin(), relaxed.end(), is_explained_read)))
+      part.push_back(entry.order);
   }
   return part;
 }
@@ -237,7 +242,7 @@
   for (auto& [object, orders] : by_object) {
     if (explained(orders, rules))
       continue;
-    return unexplained_history{object, least_part(shortest_prefix(orders, rules), rules)};
+    return unexplained_history{object, minimize(shortest_prefix(orders, rules), rules)};
   }
   return {};
 }
@@ -251,14 +256,14 @@
     case order_kind::read_configuration:
       out += "reads configuration " + std::to_string(order.number) + " (" + order.content + ")";
       break;
-    case order_kind::begin_leaving:
-      out += "orders " + order.object + ": " + order.content;
+    case order_kind::order_drain:
+      out += "starts drain of " + order.object + ": " + order.content;
       break;
-    case order_kind::withdraw_leaving:
-      out += "withdraws the leaving of " + order.object;
+    case order_kind::withdraw_drain:
+      out += "cancels the drain of " + order.object;
       break;
-    case order_kind::read_leaving:
-      out += "reads of " + order.object + ": " + (order.content.empty() ? "not leaving" : order.content);
+    case order_kind::read_drain:
+      out += "reads the drain of " + order.object + ": " + (order.content.empty() ? "none" : order.content);
       break;
   }
   if (is_read(order))
@@ -269,7 +274,7 @@
 }
 
 auto to_text(const unexplained_history& part) -> std::string {
-  auto out = "no order of these calls on " + part.object + " explains their answers:\n";
+  auto out = "no sequence of these calls on " + part.object + " explains their answers:\n";
   for (const auto& order : part.orders)
     out += "  " + to_text(order) + "\n";
   return out;
--- a/tools/local_cluster/main.cpp
+++ b/tools/local_cluster/main.cpp
@@ -1,4 +1,5 @@
-// A real fleet on this machine with stand-in clients, faults and the checker (design 9.4).
+// local_cluster: starts all processes of a cluster on this machine, runs simulated clients and operators against it,
+// injects faults and checks the observed history for consistency (design 9.4).
 #include <fcntl.h>
 #include <popt.h>
 #include <signal.h>
@@ -22,6 +23,7 @@
 namespace reachridge {
 namespace {
 
+// Size and load of a cluster. Rates are publishes a second over all clients; `slow` and `fast` are the names of spaces.
 struct layout {
   int zones, control_nodes, storage_nodes, gateways, links, slow_topics, fast_topics;
   double slow_rate, fast_rate;
@@ -32,453 +34,490 @@
                                   {"hovorna", {4, 3, 4, 8, 590, 200, 30, 117, 8, "lookups", "alerts"}},
                                   {"podnebni", {3, 3, 4, 7, 580, 600, 30, 282, 8, "readings", "floods"}}};
 
-// The program that runs a node of this kind (the word that stands on the connection).
+// Returns the program for a node kind as named in the protocol.
 auto program_of(const std::string& kind) -> std::string {
   static const auto programs = std::map<std::string, std::string>{
       {"queen", "control"}, {"comb", "storage"}, {"scout", "agent"}, {"forager", "gateway"}};
   return programs.at(kind);
 }
 
-// A process started here; it ends with its holder.
-struct child {
-  std::string name, kind, zone, web;
+// A child process. The destructor kills the process.
+struct child_process {
+  std::string name, kind, zone, http_address;
   std::vector<std::string> argv;
   pid_t pid = 0;
+  // Starts the process unless it runs already, with stderr appended to a file in the folder `logs`. Throws
+  // request_error if the process cannot be started.
   auto start(const std::string& logs) -> void {
     if (pid)
       return;
-    auto raw = std::vector<char*>();
-    for (auto& a : argv)
-      raw.push_back(a.data());
-    raw.push_back(nullptr);
-    auto acts = posix_spawn_file_actions_t();
-    posix_spawn_file_actions_init(&acts);
-    auto out = logs + "/" + name + ".err";
-    posix_spawn_file_actions_addopen(&acts, 2, out.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
-    auto r = posix_spawn(&pid, raw[0], &acts, nullptr, raw.data(), environ);
-    posix_spawn_file_actions_destroy(&acts);
-    if (r != 0)
-      throw request_error(errc::process_not_started, argv[0] + ": " + strerror(r));
+    auto arguments = std::vector<char*>();
+    for (auto& argument : argv)
+      arguments.push_back(argument.data());
+    arguments.push_back(nullptr);
+    auto file_actions = posix_spawn_file_actions_t();
+    posix_spawn_file_actions_init(&file_actions);
+    auto log_file = logs + "/" + name + ".err";
+    posix_spawn_file_actions_addopen(&file_actions, 2, log_file.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
+    auto error = posix_spawn(&pid, arguments[0], &file_actions, nullptr, arguments.data(), environ);
+    posix_spawn_file_actions_destroy(&file_actions);
+    if (error != 0)
+      throw request_error(errc::process_not_started, argv[0] + ": " + strerror(error));
   }
-  auto end(int sig) -> void {
+  // Sends a signal. After SIGKILL, also waits for the end of the process.
+  auto end(int signal_number) -> void {
     if (!pid)
       return;
-    ::kill(pid, sig);
-    if (sig != SIGKILL)
+    ::kill(pid, signal_number);
+    if (signal_number != SIGKILL)
       return;
     ::waitpid(pid, nullptr, 0);
     pid = 0;
   }
-  auto tell(int sig) const -> void {
+  // Sends a signal without waiting.
+  auto send_signal(int signal_number) const -> void {
     if (pid)
-      ::kill(pid, sig);
+      ::kill(pid, signal_number);
   }
-  ~child() {
+  ~child_process() {
     end(SIGKILL);
   }
 };
 
-auto quantile(std::vector<monotonic_time> v, double q) -> double {
-  if (v.empty())
+// Returns a quantile in milliseconds, 0 without values.
+auto quantile(std::vector<monotonic_time> values, double fraction) -> double {
+  if (values.empty())
     return 0;
-  std::sort(v.begin(), v.end());
-  return static_cast<double>(v[static_cast<std::size_t>(q * static_cast<double>(v.size() - 1))]) / millisecond;
+  std::sort(values.begin(), values.end());
+  return static_cast<double>(values[static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1))]) /
+         millisecond;
 }
 
+// The processes of one cluster with its clients, its operator and the faults of the run.
 class local_cluster {
  public:
-  local_cluster(ev_host& hh, layout l, std::string bin, std::string dir, int port)
-      : h_(hh), form_(std::move(l)), folder_(std::move(dir)), home_(hh) {
+  local_cluster(ev_host& event_host, layout shape, std::string bin, std::string folder, int port)
+      : host_(event_host), layout_(std::move(shape)), folder_(std::move(folder)), tasks_(event_host) {
     std::filesystem::create_directories(folder_);
-    auto at = [&](int n) {
-      return "127.0.0.1:" + std::to_string(port + n);
+    auto address = [&](int port_offset) {
+      return "127.0.0.1:" + std::to_string(port + port_offset);
     };
-    auto seeds = at(0) + "," + at(10) + "," + at(20);
-    auto n = 0;
-    auto add = [&](const std::string& kind, int i, const std::string& zone, std::vector<std::string> more) {
-      auto c = std::make_unique<child>();
-      c->kind = kind;
-      c->name = kind + "-" + std::to_string(i);
-      c->zone = zone;
-      c->argv = {bin + "/" + program_of(kind), "--name", c->name, "--zone", zone, "--seeds", seeds};
-      for (auto& m : more)
-        c->argv.push_back(m);
-      all_.push_back(std::move(c));
+    auto seeds = address(0) + "," + address(10) + "," + address(20);
+    auto port_offset = 0;
+    auto add_process = [&](const std::string& kind, int number, const std::string& zone,
+                           std::vector<std::string> extra_arguments) {
+      auto process = std::make_unique<child_process>();
+      process->kind = kind;
+      process->name = kind + "-" + std::to_string(number);
+      process->zone = zone;
+      process->argv = {bin + "/" + program_of(kind), "--name", process->name, "--zone", zone, "--seeds", seeds};
+      for (auto& argument : extra_arguments)
+        process->argv.push_back(argument);
+      processes_.push_back(std::move(process));
     };
-    auto zone = [&](int i) {
-      return "z" + std::to_string((i - 1) % form_.zones + 1);
+    auto zone_of = [&](int number) {
+      return "z" + std::to_string((number - 1) % layout_.zones + 1);
     };
-    for (auto i = 1; i <= form_.control_nodes; ++i, n += 10) {
-      add("queen", i, zone(i),
-          {"--addr", at(n), "--web", at(n + 1), "--data", folder_ + "/queen-" + std::to_string(i)});
-      all_.back()->web = at(n + 1);
-      control_nodes_.push_back(at(n + 1));
+    for (auto number = 1; number <= layout_.control_nodes; ++number, port_offset += 10) {
+      add_process("queen", number, zone_of(number),
+                  {"--addr", address(port_offset), "--web", address(port_offset + 1), "--data",
+                   folder_ + "/queen-" + std::to_string(number)});
+      processes_.back()->http_address = address(port_offset + 1);
+      control_nodes_.push_back(address(port_offset + 1));
     }
-    for (auto i = 1; i <= form_.storage_nodes; ++i, n += 10) {
-      add("comb", i, zone(i), {"--addr", at(n), "--web", at(n + 1), "--data", folder_ + "/comb-" + std::to_string(i)});
-      all_.back()->web = at(n + 1);
+    for (auto number = 1; number <= layout_.storage_nodes; ++number, port_offset += 10) {
+      add_process("comb", number, zone_of(number),
+                  {"--addr", address(port_offset), "--web", address(port_offset + 1), "--data",
+                   folder_ + "/comb-" + std::to_string(number)});
+      processes_.back()->http_address = address(port_offset + 1);
     }
-    for (auto i = 1; i <= form_.gateways; ++i, n += 10) {
-      add("scout", i, zone(i), {"--feed", at(n + 2)});
-      add("forager", i, zone(i), {"--feed", at(n + 2), "--web", at(n + 1)});
-      all_.back()->web = at(n + 1);
-      webs_.push_back(at(n + 1));
+    for (auto number = 1; number <= layout_.gateways; ++number, port_offset += 10) {
+      add_process("scout", number, zone_of(number), {"--feed", address(port_offset + 2)});
+      add_process("forager", number, zone_of(number),
+                  {"--feed", address(port_offset + 2), "--web", address(port_offset + 1)});
+      processes_.back()->http_address = address(port_offset + 1);
+      gateway_addresses_.push_back(address(port_offset + 1));
     }
   }
 
+  // Returns the definitions of both spaces as JSON, separated by a comma.
   auto spaces() const -> std::string {
-    return R"({"name":")" + form_.fast + R"(","keep_s":35,"urgency":9,"cells":4},{"name":")" + form_.slow +
+    return R"({"name":")" + layout_.fast + R"(","keep_s":35,"urgency":9,"cells":4},{"name":")" + layout_.slow +
            R"(","keep_s":35,"urgency":1,"cells":8})";
   }
 
-  // The whole run; true if no promise was broken.
-  auto run(int seconds, bool faults, bool stay, bool whole_day) -> task<bool> {
-    for (auto& c : all_)
-      c->start(folder_);
-    balancer_ = std::make_unique<balancer>(h_, webs_);
-    operator_client_ = std::make_unique<operator_client>(h_, control_nodes_, webs_, log_);
-    for (auto& s : {form_.fast, form_.slow})
-      log_.note(h_, object{{"e", "space"}, {"name", s}, {"keep_s", 35}});
-    auto body = probe_configuration(1, spaces());
-    auto t0 = h_.now();
-    auto ok = false;
-    while (!ok && h_.now() < t0 + 40 * second)
-      ok = co_await operator_client_->put(1, body);
-    if (ok)
-      ok = co_await operator_client_->await_held(1, h_.now() + 40 * second);
-    if (!ok) {
-      std::cout << "the fleet did not come up; logs are in " << folder_ << '\n';
+  // Runs the cluster for the given time. Returns whether the history violates no guarantee. With `keep_running`, the
+  // function only starts the cluster and never returns.
+  auto run(int seconds, bool inject_faults, bool keep_running, bool further_faults) -> task<bool> {
+    for (auto& process : processes_)
+      process->start(folder_);
+    balancer_ = std::make_unique<balancer>(host_, gateway_addresses_);
+    operator_client_ = std::make_unique<operator_client>(host_, control_nodes_, gateway_addresses_, history_);
+    for (auto& space : {layout_.fast, layout_.slow})
+      history_.note(host_, object{{"e", "space"}, {"name", space}, {"keep_s", 35}});
+    auto first_configuration = probe_configuration(1, spaces());
+    auto started_at = host_.now();
+    auto is_running = false;
+    while (!is_running && host_.now() < started_at + 40 * second)
+      is_running = co_await operator_client_->put(1, first_configuration);
+    if (is_running)
+      is_running = co_await operator_client_->await_in_force(1, host_.now() + 40 * second);
+    if (!is_running) {
+      std::cout << "the cluster did not start within the time limit; logs are in " << folder_ << '\n';
       co_return false;
     }
-    std::cout << "fleet of " << all_.size() << " processes serves after " << (h_.now() - t0) / millisecond << " ms\n"
+    std::cout << "cluster of " << processes_.size() << " processes serves after "
+              << (host_.now() - started_at) / millisecond << " ms\n"
               << std::flush;
-    if (stay) {
-      std::cout << "operators: http://" << control_nodes_[0] << "  callers: http://" << webs_[0] << "  (stop with ^C)\n"
+    if (keep_running) {
+      std::cout << "operators: http://" << control_nodes_[0] << "  clients: http://" << gateway_addresses_[0]
+                << "  (stop with ^C)\n"
                 << std::flush;
       while (true)
-        co_await sleep_for(h_, second);
+        co_await sleep_for(host_, second);
     }
-    plant();
-    co_await sleep_for(h_, 5 * second);
-    auto begin = h_.now();
-    auto part = seconds * second / 4;
-    home_.spawn(watch_lag());
-    if (!faults) {
-      co_await sleep_until(h_, begin + seconds * second);
+    start_clients();
+    co_await sleep_for(host_, 5 * second);
+    auto load_started_at = host_.now();
+    auto quarter = seconds * second / 4;
+    tasks_.spawn(watch_lag());
+    if (!inject_faults) {
+      co_await sleep_until(host_, load_started_at + seconds * second);
     } else {
-      co_await sleep_until(h_, begin + part / 2);
-      auto busy = co_await busiest();
-      auto one = std::vector<std::string>(1, busy);
-      co_await blow("kill the busiest primary, " + busy, one, 8 * second);
-      co_await sleep_until(h_, begin + part * 3 / 2);
-      auto zone = std::vector<std::string>();
-      for (auto& c : all_)
-        if (c->zone == "z2")
-          zone.push_back(c->name);
-      co_await blow("kill all of zone z2", zone, 8 * second);
-      co_await sleep_until(h_, begin + part * 5 / 2);
-      auto lead = co_await leader();
-      one.assign(1, lead);
-      co_await blow("kill the ledger's leader, " + lead, one, 8 * second);
-      co_await sleep_until(h_, begin + part * 3);
-      auto next = probe_configuration(2, spaces());
-      auto c0 = h_.now();
-      auto took = co_await operator_client_->put(2, next);
-      if (took)
-        took = co_await operator_client_->await_held(2, h_.now() + 20 * second);
-      std::cout << "charter 2 took hold after " << (h_.now() - c0) / millisecond << " ms\n" << std::flush;
-      co_await sleep_for(h_, 3 * second);
+      co_await sleep_until(host_, load_started_at + quarter / 2);
+      auto busiest_node = co_await find_busiest();
+      auto names = std::vector<std::string>(1, busiest_node);
+      co_await kill_and_restart("kill the busiest primary, " + busiest_node, names, 8 * second);
+      co_await sleep_until(host_, load_started_at + quarter * 3 / 2);
+      auto zone_names = std::vector<std::string>();
+      for (auto& process : processes_)
+        if (process->zone == "z2")
+          zone_names.push_back(process->name);
+      co_await kill_and_restart("kill all of zone z2", zone_names, 8 * second);
+      co_await sleep_until(host_, load_started_at + quarter * 5 / 2);
+      auto leader_node = co_await find_leader();
+      names.assign(1, leader_node);
+      co_await kill_and_restart("kill the log leader, " + leader_node, names, 8 * second);
+      co_await sleep_until(host_, load_started_at + quarter * 3);
+      auto configuration = probe_configuration(2, spaces());
+      auto sent_at = host_.now();
+      auto is_in_force = co_await operator_client_->put(2, configuration);
+      if (is_in_force)
+        is_in_force = co_await operator_client_->await_in_force(2, host_.now() + 20 * second);
+      std::cout << "configuration 2 took hold after " << (host_.now() - sent_at) / millisecond << " ms\n" << std::flush;
+      co_await sleep_for(host_, 3 * second);
       co_await operator_client_->probe_all(1, 2);
-      co_await sleep_until(h_, begin + part * 4);
-      if (whole_day)
-        co_await day();
+      co_await sleep_until(host_, load_started_at + quarter * 4);
+      if (further_faults)
+        co_await inject_further_faults();
     }
-    for (auto& c : callers_)
-      c->stop_publishing();
-    co_await sleep_for(h_, 14 * second);
-    auto whole = co_await operator_client_->read_all(control_nodes_, h_.now() + 20 * second);
-    if (!whole)
-      log_.note(h_, object{{"e", "newest"}, {"number", 0}, {"t0", h_.now() / millisecond}});
-    log_.note(h_, object{{"e", "end"}, {"quiet", 6000}});
-    co_return report(static_cast<double>(h_.now() - begin) / second);
+    for (auto& client : clients_)
+      client->stop_publishing();
+    co_await sleep_for(host_, 14 * second);
+    auto is_read = co_await operator_client_->read_all(control_nodes_, host_.now() + 20 * second);
+    if (!is_read)
+      history_.note(host_, object{{"e", "newest"}, {"number", 0}, {"t0", host_.now() / millisecond}});
+    history_.note(host_, object{{"e", "end"}, {"quiet", 6000}});
+    co_return report(static_cast<double>(host_.now() - load_started_at) / second);
   }
 
  private:
-  auto plant() -> void {
+  // Starts the clients. Their number for each space is in proportion to the rate of the space.
+  auto start_clients() -> void {
     auto alert_callers =
-        std::max(1, static_cast<int>(form_.links * form_.fast_rate / (form_.fast_rate + form_.slow_rate)));
-    for (auto i = 0; i < form_.links; ++i) {
-      auto p = client::plan();
-      p.name = "caller-" + std::to_string(i);
-      p.subscribed_topics = {form_.fast + "/t" + std::to_string(i % form_.fast_topics)};
-      for (auto k = 0; k < 2; ++k)
-        p.subscribed_topics.push_back(form_.slow + "/t" + std::to_string((i * 2 + k * 7) % form_.slow_topics));
-      std::sort(p.subscribed_topics.begin(), p.subscribed_topics.end());
-      p.subscribed_topics.erase(std::unique(p.subscribed_topics.begin(), p.subscribed_topics.end()),
-                                p.subscribed_topics.end());
-      auto fast = i < alert_callers;
-      auto rate = fast ? form_.fast_rate / alert_callers : form_.slow_rate / (form_.links - alert_callers);
-      p.every = static_cast<monotonic_time>(second / rate);
-      for (auto k = 0; k < 4; ++k)
-        p.published_topics.push_back((fast ? form_.fast : form_.slow) + "/t" +
-                                     std::to_string((i * 4 + k) % (fast ? form_.fast_topics : form_.slow_topics)));
-      p.drop = 60 * second;
-      callers_.push_back(std::make_unique<client>(h_, *balancer_, log_, p));
+        std::max(1, static_cast<int>(layout_.links * layout_.fast_rate / (layout_.fast_rate + layout_.slow_rate)));
+    for (auto number = 0; number < layout_.links; ++number) {
+      auto plan = client::plan();
+      plan.name = "caller-" + std::to_string(number);
+      plan.subscribed_topics = {layout_.fast + "/t" + std::to_string(number % layout_.fast_topics)};
+      for (auto index = 0; index < 2; ++index)
+        plan.subscribed_topics.push_back(layout_.slow + "/t" +
+                                         std::to_string((number * 2 + index * 7) % layout_.slow_topics));
+      std::sort(plan.subscribed_topics.begin(), plan.subscribed_topics.end());
+      plan.subscribed_topics.erase(std::unique(plan.subscribed_topics.begin(), plan.subscribed_topics.end()),
+                                   plan.subscribed_topics.end());
+      auto is_fast = number < alert_callers;
+      auto rate = is_fast ? layout_.fast_rate / alert_callers : layout_.slow_rate / (layout_.links - alert_callers);
+      plan.every = static_cast<monotonic_time>(second / rate);
+      for (auto index = 0; index < 4; ++index)
+        plan.published_topics.push_back(
+            (is_fast ? layout_.fast : layout_.slow) + "/t" +
+            std::to_string((number * 4 + index) % (is_fast ? layout_.fast_topics : layout_.slow_topics)));
+      plan.drop = 60 * second;
+      clients_.push_back(std::make_unique<client>(host_, *balancer_, history_, plan));
     }
   }
 
-  auto find(const std::string& name) -> child& {
-    for (auto& c : all_)
-      if (c->name == name)
-        return *c;
+  auto find(const std::string& name) -> child_process& {
+    for (auto& process : processes_)
+      if (process->name == name)
+        return *process;
     throw request_error(errc::not_found, name);
   }
 
-  auto busiest() -> task<std::string> {
-    auto best = std::string("comb-1");
-    auto most = -1;
-    for (auto& c : all_) {
-      if (c->kind != "comb")
+  // Returns the storage node with the most primaries.
+  auto find_busiest() -> task<std::string> {
+    auto busiest_node = std::string("comb-1");
+    auto highest_count = -1;
+    for (auto& process : processes_) {
+      if (process->kind != "comb")
         continue;
-      auto r = co_await fetch(h_, c->web, "GET", "/status", "", h_.now() + second);
-      auto n = 0;
-      if (get_value(r.body, "cells").is_object())
-        for (const auto& kv : get_value(r.body, "cells").as_object())
-          n += get_string_or(kv.value(), "role") == "primary";
-      if (n > most) {
-        most = n;
-        best = c->name;
+      auto reply = co_await fetch(host_, process->http_address, "GET", "/status", "", host_.now() + second);
+      auto primary_count = 0;
+      if (get_value(reply.body, "cells").is_object())
+        for (const auto& field : get_value(reply.body, "cells").as_object())
+          primary_count += get_string_or(field.value(), "role") == "primary";
+      if (primary_count > highest_count) {
+        highest_count = primary_count;
+        busiest_node = process->name;
       }
     }
-    co_return best;
+    co_return busiest_node;
   }
-  auto leader() -> task<std::string> {
-    for (auto& c : all_) {
-      if (c->kind != "queen")
+  // Returns the control node that leads the replicated log.
+  auto find_leader() -> task<std::string> {
+    for (auto& process : processes_) {
+      if (process->kind != "queen")
         continue;
-      auto r = co_await fetch(h_, c->web, "GET", "/status", "", h_.now() + second);
-      if (get_string_or(get_value(r.body, "ledger"), "role") == "leader")
-        co_return c->name;
+      auto reply = co_await fetch(host_, process->http_address, "GET", "/status", "", host_.now() + second);
+      if (get_string_or(get_value(reply.body, "ledger"), "role") == "leader")
+        co_return process->name;
     }
     co_return "queen-1";
   }
 
-  // The rest of what one machine can do of the brief's list, ended by one last fault.
-  auto day() -> task<void> {
-    auto one = [](const std::string& n) {
-      return std::vector<std::string>(1, n);
+  // Injects the faults beyond the three kills that are possible on one machine, and ends with a kill of all processes.
+  auto inject_further_faults() -> task<void> {
+    auto single = [](const std::string& name) {
+      return std::vector<std::string>(1, name);
     };
-    auto lead = co_await leader();
-    auto frozen = one(lead);
-    auto what = "freeze the ledger's leader, " + lead;
-    co_await freeze(what, frozen, 3 * second);
-    auto busy = co_await busiest();
-    frozen = one(busy);
-    what = "freeze the busiest primary, " + busy;
-    co_await freeze(what, frozen, 5 * second);
-    auto both = one("forager-1");
-    both.push_back("scout-1");
-    co_await freeze("freeze a forager and its scout", both, 2500 * millisecond);
-    auto order = rolled();
-    for (auto& n : order)
-      co_await roll(n);
-    events_.push_back({"reset nearly all callers", h_.now()});
-    for (auto& c : callers_)
-      if (h_.random_below(20))
-        c->reset();
-    co_await sleep_for(h_, 6 * second);
-    events_.back().back = h_.now();
-    // Two operators at once, a stale configuration, an invalid one.
-    auto mine = probe_configuration(3, spaces());
-    auto theirs = probe_configuration(3, spaces() + R"(,{"name":"other","keep_s":0,"cells":1})");
-    auto won = 0, ended = 0;
-    home_.spawn(race(mine, won, ended));
-    home_.spawn(race(theirs, won, ended));
-    while (ended < 2)  // counted by the two tasks NOLINT(bugprone-infinite-loop)
-      co_await sleep_for(h_, 50 * millisecond);
-    auto old = probe_configuration(2, spaces());
-    auto r = co_await operator_client_->ask("PUT", "/v1/charter", old, h_.now() + 10 * second);
-    auto junk = std::string(R"({"number":99,"spaces":[{"name":"x","keep_s":-5}],"rules":["allow what"]})");
-    auto r2 = co_await operator_client_->ask("PUT", "/v1/charter", junk, h_.now() + 10 * second);
-    std::cout << "operators: " << won << " of 2 racing charters won; a stale one got " << r.status
-              << ", an invalid one " << r2.status << '\n'
+    auto leader_node = co_await find_leader();
+    auto frozen = single(leader_node);
+    auto description = "freeze the log leader, " + leader_node;
+    co_await freeze(description, frozen, 3 * second);
+    auto busiest_node = co_await find_busiest();
+    frozen = single(busiest_node);
+    description = "freeze the busiest primary, " + busiest_node;
+    co_await freeze(description, frozen, 5 * second);
+    auto gateway_and_agent = single("forager-1");
+    gateway_and_agent.push_back("scout-1");
+    co_await freeze("freeze a gateway and its agent", gateway_and_agent, 2500 * millisecond);
+    auto restart_order = names_in_restart_order();
+    for (auto& name : restart_order)
+      co_await restart(name);
+    faults_.push_back({"reset nearly all client connections", host_.now()});
+    for (auto& client : clients_)
+      if (host_.random_below(20))
+        client->reset();
+    co_await sleep_for(host_, 6 * second);
+    faults_.back().ended_at = host_.now();
+    // Two concurrent operators, then a stale and an invalid configuration.
+    auto first_configuration = probe_configuration(3, spaces());
+    auto second_configuration = probe_configuration(3, spaces() + R"(,{"name":"other","keep_s":0,"cells":1})");
+    auto accepted_count = 0, completed_count = 0;
+    tasks_.spawn(race(first_configuration, accepted_count, completed_count));
+    tasks_.spawn(race(second_configuration, accepted_count, completed_count));
+    while (completed_count < 2)  // the two tasks increment the counter NOLINT(bugprone-infinite-loop)
+      co_await sleep_for(host_, 50 * millisecond);
+    auto stale_configuration = probe_configuration(2, spaces());
+    auto stale_reply =
+        co_await operator_client_->ask("PUT", "/v1/charter", stale_configuration, host_.now() + 10 * second);
+    auto invalid_configuration =
+        std::string(R"({"number":99,"spaces":[{"name":"x","keep_s":-5}],"rules":["allow what"]})");
+    auto invalid_reply =
+        co_await operator_client_->ask("PUT", "/v1/charter", invalid_configuration, host_.now() + 10 * second);
+    std::cout << "operators: " << accepted_count
+              << " of 2 concurrent configurations were accepted; a stale one received status " << stale_reply.status
+              << ", an invalid one status " << invalid_reply.status << '\n'
               << std::flush;
-    if (won != 1 || r.status == 200 || r2.status == 200)
-      log_.note(h_, object{{"e", "newest"}, {"number", -1}, {"t0", h_.now() / millisecond}});
-    auto took = co_await operator_client_->await_held(3, h_.now() + 20 * second);
-    if (took) {
-      co_await sleep_for(h_, 3 * second);
+    if (accepted_count != 1 || stale_reply.status == 200 || invalid_reply.status == 200)
+      history_.note(host_, object{{"e", "newest"}, {"number", -1}, {"t0", host_.now() / millisecond}});
+    auto is_in_force = co_await operator_client_->await_in_force(3, host_.now() + 20 * second);
+    if (is_in_force) {
+      co_await sleep_for(host_, 3 * second);
       co_await operator_client_->probe_all(2, 3);
     }
-    // A machine whose disk is new, when all else is in step again.
-    auto other = co_await busiest();
-    find(other).end(SIGKILL);
-    std::filesystem::remove_all(folder_ + "/" + other);
-    events_.push_back({"the disk of the busiest primary, " + other + ", is lost", h_.now()});
-    co_await sleep_for(h_, 4 * second);
-    find(other).start(folder_);
-    events_.back().back = h_.now();
-    co_await sleep_for(h_, 10 * second);
-    auto gone = co_await operator_client_->leave("comb-4", "evacuate", h_.now() + 30 * second);
-    std::cout << "evacuation of comb-4: " << (gone ? "done" : "not done in 30 s") << '\n' << std::flush;
-    // The last one: everything is killed at once, and comes back.
-    auto every = std::vector<std::string>();
-    for (auto& c : all_)
-      every.push_back(c->name);
-    co_await blow("kill the whole fleet", every, 3 * second);
-    log_.note(h_, object{{"e", "mend"}});
-    co_await sleep_for(h_, 14 * second);
+    // A storage node restarts with an empty disk after all other nodes have caught up.
+    auto wiped_node = co_await find_busiest();
+    find(wiped_node).end(SIGKILL);
+    std::filesystem::remove_all(folder_ + "/" + wiped_node);
+    faults_.push_back({"the disk of the busiest primary, " + wiped_node + ", is lost", host_.now()});
+    co_await sleep_for(host_, 4 * second);
+    find(wiped_node).start(folder_);
+    faults_.back().ended_at = host_.now();
+    co_await sleep_for(host_, 10 * second);
+    auto is_evacuated = co_await operator_client_->leave("comb-4", "evacuate", host_.now() + 30 * second);
+    std::cout << "evacuation of comb-4: " << (is_evacuated ? "done" : "not done in 30 s") << '\n' << std::flush;
+    // The last fault kills all processes at once and restarts them.
+    auto all_names = std::vector<std::string>();
+    for (auto& process : processes_)
+      all_names.push_back(process->name);
+    co_await kill_and_restart("kill all processes", all_names, 3 * second);
+    history_.note(host_, object{{"e", "mend"}});
+    co_await sleep_for(host_, 14 * second);
   }
-  auto rolled() const -> std::vector<std::string> {
-    auto out = std::vector<std::string>();
+  // Returns the processes to restart, in order: control nodes, storage nodes, gateways.
+  auto names_in_restart_order() const -> std::vector<std::string> {
+    auto names = std::vector<std::string>();
     for (const auto* kind : {"queen", "comb", "forager"})
-      for (const auto& c : all_)
-        if (c->kind == kind)
-          out.push_back(c->name);
-    return out;
+      for (const auto& process : processes_)
+        if (process->kind == kind)
+          names.push_back(process->name);
+    return names;
   }
-  auto race(std::string body, int& won, int& ended) -> task<void> {
-    auto ok = co_await operator_client_->put(3, body);
-    won += ok;
-    ++ended;
+  // Sends configuration 3 as one of two concurrent operators and counts successes and completions.
+  auto race(std::string body, int& accepted_count, int& completed_count) -> task<void> {
+    auto is_accepted = co_await operator_client_->put(3, body);
+    accepted_count += is_accepted;
+    ++completed_count;
   }
-  auto freeze(std::string what, std::vector<std::string> names, monotonic_time span) -> task<void> {
-    events_.push_back({what, h_.now()});
-    log_.note(h_, object{{"e", "hurt"}});
-    for (auto& n : names)
-      find(n).tell(SIGSTOP);
-    co_await sleep_for(h_, span);
-    for (auto& n : names)
-      find(n).tell(SIGCONT);
-    log_.note(h_, object{{"e", "mend"}});
-    events_.back().back = h_.now();
-    co_await sleep_for(h_, 5 * second);
+  // Stops the processes with SIGSTOP for a time and continues them.
+  auto freeze(std::string description, std::vector<std::string> names, monotonic_time duration) -> task<void> {
+    faults_.push_back({description, host_.now()});
+    history_.note(host_, object{{"e", "hurt"}});
+    for (auto& name : names)
+      find(name).send_signal(SIGSTOP);
+    co_await sleep_for(host_, duration);
+    for (auto& name : names)
+      find(name).send_signal(SIGCONT);
+    history_.note(host_, object{{"e", "mend"}});
+    faults_.back().ended_at = host_.now();
+    co_await sleep_for(host_, 5 * second);
   }
-  // The platform's way: SIGTERM, a few seconds later SIGKILL, then the start of the next.
-  auto roll(std::string name) -> task<void> {
-    events_.push_back({"roll " + name, h_.now()});
-    log_.note(h_, object{{"e", "hurt"}});
-    find(name).tell(SIGTERM);
-    co_await sleep_for(h_, second + static_cast<monotonic_time>(h_.random_below(3)) * second);
+  // Restarts a process like the deployment platform: SIGTERM, SIGKILL a few seconds later, then a new start.
+  auto restart(std::string name) -> task<void> {
+    faults_.push_back({"restart " + name, host_.now()});
+    history_.note(host_, object{{"e", "hurt"}});
+    find(name).send_signal(SIGTERM);
+    co_await sleep_for(host_, second + static_cast<monotonic_time>(host_.random_below(3)) * second);
     find(name).end(SIGKILL);
     find(name).start(folder_);
-    log_.note(h_, object{{"e", "mend"}});
-    events_.back().back = h_.now();
-    co_await sleep_for(h_, 3 * second);
+    history_.note(host_, object{{"e", "mend"}});
+    faults_.back().ended_at = host_.now();
+    co_await sleep_for(host_, 3 * second);
   }
 
-  // Kills, brings back, and tells how long what was sent in between had to wait.
-  auto blow(std::string what, std::vector<std::string> names, monotonic_time gone) -> task<void> {
-    auto t = h_.now();
-    log_.note(h_, object{{"e", "hurt"}});
-    for (auto& n : names)
-      find(n).end(SIGKILL);
-    events_.push_back({what, t});
-    co_await sleep_for(h_, gone);
-    for (auto& n : names)
-      find(n).start(folder_);
-    log_.note(h_, object{{"e", "mend"}});
-    events_.back().back = h_.now();
+  // Kills the named processes and restarts them after the given time.
+  auto kill_and_restart(std::string description, std::vector<std::string> names, monotonic_time downtime)
+      -> task<void> {
+    auto killed_at = host_.now();
+    history_.note(host_, object{{"e", "hurt"}});
+    for (auto& name : names)
+      find(name).end(SIGKILL);
+    faults_.push_back({description, killed_at});
+    co_await sleep_for(host_, downtime);
+    for (auto& name : names)
+      find(name).start(folder_);
+    history_.note(host_, object{{"e", "mend"}});
+    faults_.back().ended_at = host_.now();
   }
 
+  // Reads the replication lag and the disk counters of the storage nodes once a second. Never returns.
   auto watch_lag() -> task<void> {
     while (true) {
-      for (auto& c : all_) {
-        if (c->kind != "comb" || !c->pid)
+      for (auto& process : processes_) {
+        if (process->kind != "comb" || !process->pid)
           continue;
-        auto r = co_await fetch(h_, c->web, "GET", "/status", "", h_.now() + second);
-        if (!get_value(r.body, "cells").is_object())
+        auto reply = co_await fetch(host_, process->http_address, "GET", "/status", "", host_.now() + second);
+        if (!get_value(reply.body, "cells").is_object())
           continue;
-        syncs_[c->name] = get_int_or(r.body, "syncs", 0);
-        bytes_[c->name] = get_int_or(r.body, "bytes", 0);
-        for (const auto& kv : get_value(r.body, "cells").as_object()) {
-          if (get_string_or(kv.value(), "role") != "primary")
+        syncs_[process->name] = get_int_or(reply.body, "syncs", 0);
+        bytes_[process->name] = get_int_or(reply.body, "bytes", 0);
+        for (const auto& field : get_value(reply.body, "cells").as_object()) {
+          if (get_string_or(field.value(), "role") != "primary")
             continue;
-          auto back = get_string_or(kv.value(), "back");
-          const auto& m = get_value(get_value(kv.value(), "copies"), back);
-          if (m.is_object() && get_bool(m, "joined"))
-            lags_.push_back(get_int_or(m, "lag_ms", 0) * millisecond);
+          auto backup = get_string_or(field.value(), "back");
+          const auto& copy = get_value(get_value(field.value(), "copies"), backup);
+          if (copy.is_object() && get_bool(copy, "joined"))
+            replication_lags_.push_back(get_int_or(copy, "lag_ms", 0) * millisecond);
         }
       }
-      co_await sleep_for(h_, second);
+      co_await sleep_for(host_, second);
     }
   }
 
-  auto report(double secs) -> bool {
-    auto breaches = check_consistency(log_.rows);
-    auto show = [&](const std::string& what, const std::vector<monotonic_time>& v) {
-      std::cout << "  " << what << ": n=" << v.size() << " p50=" << quantile(v, .5) << " p95=" << quantile(v, .95)
-                << " p99=" << quantile(v, .99) << " max=" << quantile(v, 1) << " ms\n";
+  // Prints the measurements and the violations. Writes the history to a file if a guarantee is violated.
+  auto report(double duration_s) -> bool {
+    auto violations = check_consistency(history_.rows);
+    auto show = [&](const std::string& description, const std::vector<monotonic_time>& values) {
+      std::cout << "  " << description << ": n=" << values.size() << " p50=" << quantile(values, .5)
+                << " p95=" << quantile(values, .95) << " p99=" << quantile(values, .99)
+                << " max=" << quantile(values, 1) << " ms\n";
     };
-    std::cout << "latency over " << secs << " s, first try to outcome\n";
-    for (auto& [s, v] : log_.acks)
-      show("ack " + s, v);
-    for (auto& [s, v] : log_.deliveries)
-      show("delivery " + s, v);
-    show("replication lag", lags_);
-    // For each fault: the longest that a publish first tried around it had to wait for its ack.
-    auto first = std::map<std::tuple<std::string, std::string, std::int64_t>, std::int64_t>();
+    std::cout << "latency over " << duration_s << " s, from first attempt to outcome\n";
+    for (auto& [space, latencies] : history_.acks)
+      show("ack " + space, latencies);
+    for (auto& [space, latencies] : history_.deliveries)
+      show("delivery " + space, latencies);
+    show("replication lag", replication_lags_);
+    // For each fault, finds the longest wait for an acknowledgement of a publish first sent around the fault.
+    auto first_attempts = std::map<std::tuple<std::string, std::string, std::int64_t>, std::int64_t>();
     auto waits = std::vector<std::pair<std::int64_t, std::int64_t>>();
-    for (auto& e : log_.rows) {
-      auto k = get_string(e, "e");
-      if (k == "try")
-        first.emplace(std::tuple(get_string(e, "who"), get_string(e, "topic"), get_int(e, "seq")), get_int(e, "t"));
-      if (k == "verdict" && get_string(e, "verdict") == "acked") {
-        auto it = first.find({get_string(e, "who"), get_string(e, "topic"), get_int(e, "seq")});
-        if (it != first.end())
-          waits.emplace_back(it->second, get_int(e, "t") - it->second);
+    for (auto& event : history_.rows) {
+      auto event_name = get_string(event, "e");
+      if (event_name == "try")
+        first_attempts.emplace(std::tuple(get_string(event, "who"), get_string(event, "topic"), get_int(event, "seq")),
+                               get_int(event, "t"));
+      if (event_name == "verdict" && get_string(event, "verdict") == "acked") {
+        auto first_attempt =
+            first_attempts.find({get_string(event, "who"), get_string(event, "topic"), get_int(event, "seq")});
+        if (first_attempt != first_attempts.end())
+          waits.emplace_back(first_attempt->second, get_int(event, "t") - first_attempt->second);
       }
     }
-    for (auto& ev : events_) {
-      auto worst = std::int64_t{0}, late = std::int64_t{0};
-      for (auto& [t, w] : waits)
-        if (t > ev.at / millisecond - 2000 && t < ev.back / millisecond) {
-          worst = std::max(worst, w);
-          late += w > 1000;
+    for (auto& fault : faults_) {
+      auto longest_wait = std::int64_t{0}, late_count = std::int64_t{0};
+      for (auto& [sent_at, wait_ms] : waits)
+        if (sent_at > fault.at / millisecond - 2000 && sent_at < fault.ended_at / millisecond) {
+          longest_wait = std::max(longest_wait, wait_ms);
+          late_count += wait_ms > 1000;
         }
-      std::cout << "fault: " << ev.what << ": longest wait for an ack " << worst << " ms, " << late
-                << " waited over 1 s\n";
+      std::cout << "fault: " << fault.description << ": longest wait for an acknowledgement " << longest_wait << " ms, "
+                << late_count << " waited over 1 s\n";
     }
-    for (auto& [k, v] : log_.counts)
-      std::cout << "  answers: " << k << " " << v << '\n';
-    auto s = std::int64_t{0}, b = std::int64_t{0}, acked = std::int64_t{0};
-    for (auto& [n, v] : syncs_)
-      s += v;
-    for (auto& [n, v] : bytes_)
-      b += v;
-    for (auto& [n, v] : log_.acks)
-      acked += static_cast<std::int64_t>(v.size());
-    if (acked)
-      std::cout << "  disks: " << static_cast<double>(s) / static_cast<double>(acked) << " syncs and " << b / acked
-                << " bytes per acked message, all combs together (combs killed count from their restart)\n";
-    for (auto i = std::size_t{0}; i < breaches.size() && i < 20; ++i)
-      std::cout << "BROKEN " << breaches[i].rule << ": " << breaches[i].detail << '\n';
-    std::cout << breaches.size() << " broken promises\n";
-    if (!breaches.empty()) {
-      auto out = std::ofstream(folder_ + "/history.jsonl");
-      for (auto& e : log_.rows)
-        out << to_json(e) << '\n';
+    for (auto& [kind, count] : history_.counts)
+      std::cout << "  answers: " << kind << " " << count << '\n';
+    auto sync_count = std::int64_t{0}, byte_count = std::int64_t{0}, acknowledged_count = std::int64_t{0};
+    for (auto& [node, count] : syncs_)
+      sync_count += count;
+    for (auto& [node, count] : bytes_)
+      byte_count += count;
+    for (auto& [space, latencies] : history_.acks)
+      acknowledged_count += static_cast<std::int64_t>(latencies.size());
+    if (acknowledged_count)
+      std::cout
+          << "  disks: " << static_cast<double>(sync_count) / static_cast<double>(acknowledged_count) << " syncs and "
+          << byte_count / acknowledged_count
+          << " bytes per acknowledged message over all storage nodes (restarted nodes count from their restart)\n";
+    for (auto i = std::size_t{0}; i < violations.size() && i < 20; ++i)
+      std::cout << "BROKEN " << violations[i].rule << ": " << violations[i].detail << '\n';
+    std::cout << violations.size() << " broken promises\n";
+    if (!violations.empty()) {
+      auto output = std::ofstream(folder_ + "/history.jsonl");
+      for (auto& event : history_.rows)
+        output << to_json(event) << '\n';
     }
-    return breaches.empty();
+    return violations.empty();
   }
 
-  struct event {
-    std::string what;
-    monotonic_time at = 0, back = 0;
+  // A fault with the time of its begin and of its end.
+  struct fault {
+    std::string description;
+    monotonic_time at = 0, ended_at = 0;
   };
-  ev_host& h_;
-  layout form_;
+  ev_host& host_;
+  layout layout_;
   std::string folder_;
-  history log_;
-  std::vector<std::unique_ptr<child>> all_;
-  std::vector<std::string> control_nodes_, webs_;
+  history history_;
+  std::vector<std::unique_ptr<child_process>> processes_;
+  std::vector<std::string> control_nodes_, gateway_addresses_;
   std::unique_ptr<balancer> balancer_;
   std::unique_ptr<operator_client> operator_client_;
-  std::vector<std::unique_ptr<client>> callers_;
-  std::vector<event> events_;
-  std::vector<monotonic_time> lags_;
+  std::vector<std::unique_ptr<client>> clients_;
+  std::vector<fault> faults_;
+  std::vector<monotonic_time> replication_lags_;
   std::map<std::string, std::int64_t> syncs_, bytes_;
-  task_group home_;
+  task_group tasks_;
 };
 
 }  // namespace
@@ -489,63 +528,64 @@
   auto* dir = static_cast<char*>(nullptr);
   auto* bin = static_cast<char*>(nullptr);
   auto seconds = 60, port = 17000, calm = 0, stay = 0, day = 0;
-  poptOption opts[] = {
+  poptOption option_table[] = {
       {"shape", 0, POPT_ARG_STRING, &shape, 0, "small, hovorna or podnebni", "SHAPE"},
-      {"dir", 0, POPT_ARG_STRING, &dir, 0, "folder for data and logs; a new one by default", "DIR"},
-      {"bin", 0, POPT_ARG_STRING, &bin, 0, "folder of the daemons; by default this program's own", "DIR"},
-      {"seconds", 0, POPT_ARG_INT, &seconds, 0, "how long callers go on", "N"},
+      {"dir", 0, POPT_ARG_STRING, &dir, 0, "folder for data and logs; default: a new temporary folder", "DIR"},
+      {"bin", 0, POPT_ARG_STRING, &bin, 0, "folder of the daemons; default: the folder of this program", "DIR"},
+      {"seconds", 0, POPT_ARG_INT, &seconds, 0, "duration of the client load in seconds", "N"},
       {"port", 0, POPT_ARG_INT, &port, 0, "first port", "N"},
-      {"calm", 0, POPT_ARG_NONE, &calm, 0, "no faults", nullptr},
+      {"calm", 0, POPT_ARG_NONE, &calm, 0, "inject no faults", nullptr},
       {"day", 0, POPT_ARG_NONE, &day, 0,
-       "after the three kills: freezes, rolls, resets, racing operators, a lost disk, an evacuation, and all killed at "
-       "the end",
+       "after the three kills: freezes, restarts, connection resets, concurrent operators, a lost disk, an evacuation, "
+       "and a kill of all processes",
        nullptr},
-      {"stay", 0, POPT_ARG_NONE, &stay, 0, "only start the fleet and keep it, to try by hand", nullptr},
+      {"stay", 0, POPT_ARG_NONE, &stay, 0, "only start the cluster and keep it running for manual tests", nullptr},
       {nullptr, '\0', POPT_ARG_INCLUDE_TABLE, poptHelpOptions, 0, "Help options:", nullptr},
       {nullptr, '\0', 0, nullptr, 0, nullptr, nullptr}};
   using context = std::unique_ptr<poptContext_s, decltype(&poptFreeContext)>;
-  auto ctx = context(poptGetContext(nullptr, argc, argv, opts, 0), &poptFreeContext);
-  if (auto r = poptGetNextOpt(ctx.get()); r < -1) {
-    std::cerr << poptBadOption(ctx.get(), 0) << ": " << poptStrerror(r) << '\n';
+  auto popt = context(poptGetContext(nullptr, argc, argv, option_table, 0), &poptFreeContext);
+  if (auto result = poptGetNextOpt(popt.get()); result < -1) {
+    std::cerr << poptBadOption(popt.get(), 0) << ": " << poptStrerror(result) << '\n';
     return 2;
   }
-  auto kind = std::string(shape ? shape : "small");
-  if (!reachridge::layouts.count(kind)) {
-    std::cerr << "shape: '" << kind << "' is none of small, hovorna, podnebni\n";
+  auto shape_name = std::string(shape ? shape : "small");
+  if (!reachridge::layouts.count(shape_name)) {
+    std::cerr << "shape: '" << shape_name << "' is not one of small, hovorna, podnebni\n";
     return 2;
   }
   auto folder = std::string(dir ? dir : "");
   if (folder.empty()) {
-    char tmp[] = "/tmp/local-cluster-XXXXXX";
-    if (!mkdtemp(tmp))
+    char temporary_folder[] = "/tmp/local-cluster-XXXXXX";
+    if (!mkdtemp(temporary_folder))
       return 1;
-    folder = tmp;
+    folder = temporary_folder;
   }
-  auto self = std::filesystem::read_symlink("/proc/self/exe").parent_path().string();
-  auto ok = false;
+  auto program_folder = std::filesystem::read_symlink("/proc/self/exe").parent_path().string();
+  auto is_successful = false;
   try {
-    auto h = reachridge::ev_host("");
-    auto f = reachridge::local_cluster(h, reachridge::layouts.at(kind), bin ? bin : self, folder, port);
-    auto home = reachridge::task_group(h);
-    home.on_error = [&](std::exception_ptr e) {
+    auto host = reachridge::ev_host("");
+    auto cluster =
+        reachridge::local_cluster(host, reachridge::layouts.at(shape_name), bin ? bin : program_folder, folder, port);
+    auto tasks = reachridge::task_group(host);
+    tasks.on_error = [&](std::exception_ptr error) {
       try {
-        std::rethrow_exception(e);
-      } catch (const std::exception& x) {
-        std::cerr << "failed: " << x.what() << '\n';
+        std::rethrow_exception(error);
+      } catch (const std::exception& exception) {
+        std::cerr << "failed: " << exception.what() << '\n';
       }
-      h.end();
+      host.end();
     };
-    home.spawn([](reachridge::ev_host& hh, reachridge::local_cluster& ff, bool& out, int s, bool c, bool st,
-                  bool d) -> reachridge::task<void> {
-      out = co_await ff.run(s, !c, st, d);
-      hh.end();
-    }(h, f, ok, seconds, calm != 0, stay != 0, day != 0));
-    h.run();
-  } catch (const std::exception& e) {
-    std::cerr << "failed: " << e.what() << '\n';
+    tasks.spawn([](reachridge::ev_host& event_host, reachridge::local_cluster& running_cluster, bool& result,
+                   int duration_s, bool calm_run, bool keep_running, bool further_faults) -> reachridge::task<void> {
+      result = co_await running_cluster.run(duration_s, !calm_run, keep_running, further_faults);
+      event_host.end();
+    }(host, cluster, is_successful, seconds, calm != 0, stay != 0, day != 0));
+    host.run();
+  } catch (const std::exception& error) {
+    std::cerr << "failed: " << error.what() << '\n';
   }
   free(shape);
   free(dir);
   free(bin);
-  return ok ? 0 : 1;
+  return is_successful ? 0 : 1;
 }
--- a/tools/local_cluster/test_client.cpp
+++ b/tools/local_cluster/test_client.cpp
@@ -8,17 +8,18 @@
 
 constexpr auto poll_interval = 400 * millisecond;
 constexpr auto connect_timeout = 2 * second;
-constexpr auto silence_limit = 3500 * millisecond;  // longer than any heartbeat interval
-constexpr auto answer_timeout = 6 * second;         // a publish without an answer is sent again
-constexpr auto half_open_time = 8 * second;         // about how long a connection that nobody reads stays
+constexpr auto silence_limit = 3500 * millisecond;  // must exceed every heartbeat interval
+constexpr auto answer_timeout = 6 * second;         // a publish without an answer is repeated after this time
+constexpr auto half_open_time = 8 * second;         // average time until an unread connection is closed
 constexpr auto least_retry_ms = std::int64_t{50};
-constexpr auto one_in = std::uint64_t{4};  // how often a connection is left half open, or an accepted publish repeated
+// In one of this many cases, a dropped connection is left half open or an accepted publish is repeated.
+constexpr auto chance_one_in = std::uint64_t{4};
 
-auto space_of(const std::string& topic) -> std::string {
+auto get_space(const std::string& topic) -> std::string {
   return topic.substr(0, topic.find('/'));
 }
 
-// A connection that nobody reads any more, until the client's machine gives it up.
+// Leaves a connection open without reading from it until the host of the client would close it.
 auto leave_half_open(host& machine, std::shared_ptr<json_lines> connection) -> task<void> {
   co_await sleep_for(machine, machine.jittered(half_open_time));
   connection->transport().close();
@@ -48,13 +49,13 @@
   return *std::next(ready.begin(), static_cast<std::ptrdiff_t>(host_.random_below(ready.size())));
 }
 
-client::client(host& owner, balancer& gateways, history& observed, plan what)
-    : host_(owner), balancer_(gateways), history_(observed), plan_(std::move(what)), tasks_(owner) {
+client::client(host& owner, balancer& gateways, history& observed, plan behavior)
+    : host_(owner), balancer_(gateways), history_(observed), plan_(std::move(behavior)), tasks_(owner) {
   for (const auto& topic : plan_.subscribed_topics)
     positions_[topic] = -1;
   tasks_.spawn(keep_connected());
   if (!plan_.published_topics.empty())
-    tasks_.spawn(publish_in_turn());
+    tasks_.spawn(publish_continuously());
   if (plan_.drop < never)
     tasks_.spawn(drop_connections());
 }
@@ -67,27 +68,27 @@
 auto client::drop_connections() -> task<void> {
   while (true) {
     co_await sleep_for(host_, host_.jittered(plan_.drop));
-    if (host_.random_below(one_in) == 0)
+    if (host_.random_below(chance_one_in) == 0)
       reconnect_elsewhere();
     else
       reset();
   }
 }
 
-// Connects, subscribes from where it stands, reads; again and again.
+// Connects, resumes the subscriptions and reads messages. Reconnects after each disconnect. Never returns.
 auto client::keep_connected() -> task<void> {
   while (true) {
-    reconnect_in_ = host_.jittered(500 * millisecond);
-    if (!seeking_)
+    reconnect_delay_ = host_.jittered(500 * millisecond);
+    if (!connecting_)
       history_.note(host_, object{{"e", "seek"}, {"who", plan_.name}});
-    seeking_ = true;
+    connecting_ = true;
     auto gateway = balancer_.draw();
     auto connection = std::shared_ptr<json_lines>();
     if (!gateway.empty())
       connection = co_await open_json_stream(host_, gateway, host_.now() + connect_timeout);
     if (connection)
       co_await use_connection(connection);
-    co_await sleep_for(host_, reconnect_in_);
+    co_await sleep_for(host_, reconnect_delay_);
   }
 }
 
@@ -95,17 +96,17 @@
   connection_ = connection;
   enrol();
   linked = true;
-  leave_connection_ = false;
+  abandon_connection_ = false;
   for (auto& [key, publish] : in_flight_)
     publish.due = host_.now();
-  while (!leave_connection_) {
+  while (!abandon_connection_) {
     auto line = co_await connection->next(host_.now() + silence_limit);
     if (!line)
-      break;  // ended, or silent
-    take(boost::json::parse(*line));
+      break;  // the connection is closed or silent
+    process(boost::json::parse(*line));
   }
   linked = false;
-  if (leave_connection_ && !connection->transport().closed)
+  if (abandon_connection_ && !connection->transport().closed)
     tasks_.spawn(leave_half_open(host_, connection));
   else
     connection->transport().close();
@@ -138,18 +139,19 @@
       object{{"op", "publish"}, {"topic", publish.topic}, {"seq", publish.sequence}, {"body", publish.body}});
 }
 
-// Publishes on its topics in turn, so many in flight for each; repeated until the answer is clear.
-auto client::publish_in_turn() -> task<void> {
+// Publishes to the topics in turn with a limit of publishes in flight for each topic, and repeats publishes that are
+// due. Never returns.
+auto client::publish_continuously() -> task<void> {
   co_await sleep_for(host_, host_.jittered(plan_.every));
   auto next_publish = host_.now();
-  auto turn = std::size_t{0};
+  auto topic_index = std::size_t{0};
   while (true) {
     auto now = host_.now();
     if (linked && connection_) {
       send_due();
       if (now >= next_publish && now < plan_.until) {
         next_publish = now + host_.jittered(plan_.every);
-        publish_next(plan_.published_topics[turn++ % plan_.published_topics.size()]);
+        publish_next(plan_.published_topics[topic_index++ % plan_.published_topics.size()]);
       }
     }
     auto interval = std::max<monotonic_time>(5 * millisecond, plan_.every / 4);
@@ -174,10 +176,10 @@
 }
 
 auto client::publish_next(const std::string& topic) -> void {
-  auto open = std::count_if(in_flight_.begin(), in_flight_.end(), [&](const auto& row) {
-    return row.first.first == topic;
+  auto in_flight_count = std::count_if(in_flight_.begin(), in_flight_.end(), [&](const auto& entry) {
+    return entry.first.first == topic;
   });
-  if (open >= plan_.pipe)
+  if (in_flight_count >= plan_.pipe)
     return;
   auto now = host_.now();
   auto sequence = ++sequences_[topic];
@@ -189,7 +191,7 @@
   send_publish(publish);
 }
 
-auto client::take(const value& answer) -> void {
+auto client::process(const value& answer) -> void {
   auto operation = get_string_or(answer, "op");
   auto answered = get_string_or(answer, "for");
   if (operation == "deliver")
@@ -203,7 +205,7 @@
   if (answered == "subscribe")
     return on_subscribe_answer(answer);
   if (answered == "link")
-    reconnect_in_ = get_int_or(answer, "retry_ms", 500) * millisecond;
+    reconnect_delay_ = get_int_or(answer, "retry_ms", 500) * millisecond;
   if (answered == "publish")
     on_publish_answer(answer);
 }
@@ -221,11 +223,11 @@
   positions_[topic] = position;
   auto sent = history_.sent.find({topic + " " + get_string(answer, "from"), get_int(answer, "seq")});
   if (sent != history_.sent.end())
-    history_.deliveries[space_of(topic)].push_back(host_.now() - sent->second);
+    history_.deliveries[get_space(topic)].push_back(host_.now() - sent->second);
 }
 
 auto client::on_redirect(const value& answer) -> void {
-  reconnect_in_ = get_int_or(answer, "retry_ms", 100) * millisecond;
+  reconnect_delay_ = get_int_or(answer, "retry_ms", 100) * millisecond;
   reset();
 }
 
@@ -236,7 +238,7 @@
   auto code = get_string_or(answer, "code");
   ++history_.counts["subscribe " + code];
   if (code != "gone")
-    return reset();  // come back elsewhere
+    return reset();  // reconnect to another gateway
   history_.note(host_, object{{"e", "gone"}, {"who", plan_.name}, {"topic", topic}, {"after", positions_[topic]}});
   positions_[topic] = -1;
   if (connection_)
@@ -245,9 +247,9 @@
 
 auto client::on_subscribed(const value& answer) -> void {
   auto topic = get_string(answer, "topic");
-  if (seeking_)
+  if (connecting_)
     history_.note(host_, object{{"e", "linked"}, {"who", plan_.name}});
-  seeking_ = false;
+  connecting_ = false;
   history_.note(host_,
                 object{{"e", "subbed"}, {"who", plan_.name}, {"topic", topic}, {"pos", get_value(answer, "pos")}});
   if (positions_[topic] < 0)
@@ -282,8 +284,8 @@
 
 auto client::on_accepted(publish_map::iterator publish) -> void {
   auto& accepted = publish->second;
-  history_.acks[space_of(accepted.topic)].push_back(host_.now() - accepted.first_attempt);
-  if (plan_.echo > 0 && host_.random_below(one_in) == 0) {
+  history_.acks[get_space(accepted.topic)].push_back(host_.now() - accepted.first_attempt);
+  if (plan_.echo > 0 && host_.random_below(chance_one_in) == 0) {
     accepted.due =
         host_.now() + static_cast<monotonic_time>(host_.random_below(static_cast<std::uint64_t>(plan_.echo)));
     echoes_.push_back(accepted);
--- a/tools/local_cluster/test_client.hpp
+++ b/tools/local_cluster/test_client.hpp
@@ -1,4 +1,4 @@
-// Simulated clients of the service, and the balancer that spreads them over its gateways (design 9.2).
+// Simulated clients of the service and the load balancer that distributes them over the gateways (design 9.2).
 #pragma once
 #include <cstdint>
 #include <map>
@@ -13,14 +13,16 @@
 
 namespace reachridge {
 
-// Spreads new connections over the gateways that say they are ready.
+// Polls the readiness of the gateways and picks a random ready gateway for each new connection.
 class balancer {
  public:
   balancer(host& owner, const std::vector<std::string>& gateways);
+  // Adds a gateway that joined during the run.
   auto watch(const std::string& gateway) -> void {
     tasks_.spawn(poll(gateway));
-  }                            // one that was added
-  auto draw() -> std::string;  // empty: none is ready
+  }
+  // Returns the address of a ready gateway, or an empty string if none is ready.
+  auto draw() -> std::string;
   std::set<std::string> ready;
 
  private:
@@ -29,35 +31,39 @@
   task_group tasks_;
 };
 
-// One client: keeps a connection, subscribes from where it stands, publishes in sequence and repeats each publish until
-// its answer is clear. All that it sends and receives is noted in the history.
+// A client that keeps a connection, resumes its subscriptions, publishes in sequence and repeats each publish until the
+// answer is clear. The client records everything it sends and receives in the history.
 class client {
  public:
+  // What the client does.
   struct plan {
     std::string name;
     std::vector<std::string> subscribed_topics, published_topics;
-    monotonic_time every = second;  // between publishes
-    monotonic_time drop = never;    // about how long a connection is kept before it is dropped by itself
-    int pipe = 1;                   // publishes of one topic in flight at a time
-    monotonic_time echo = 0;        // accepted publishes are sent again after up to so long
-    monotonic_time until = never;   // publishes stop then
+    monotonic_time every = second;  // average time between publishes
+    monotonic_time drop = never;    // average time after which the client drops its connection
+    int pipe = 1;                   // maximum number of publishes in flight for one topic
+    monotonic_time echo = 0;        // some accepted publishes are sent again within this time; 0: none
+    monotonic_time until = never;   // time after which no new publish starts
   };
-  client(host& owner, balancer& gateways, history& observed, plan what);
-  auto reset() -> void;  // its connection is reset
-  // Comes back elsewhere while its old connection stays half open.
+  client(host& owner, balancer& gateways, history& observed, plan behavior);
+  // Closes the connection; the client then reconnects.
+  auto reset() -> void;
+  // Reconnects to another gateway while the old connection stays half open.
   auto reconnect_elsewhere() -> void {
-    leave_connection_ = true;
+    abandon_connection_ = true;
   }
-  // New publishes stop; those in flight are seen through.
+  // Starts no new publishes. Publishes in flight are repeated until they are answered.
   auto stop_publishing() -> void {
     plan_.until = 0;
   }
-  auto keep_link() -> void {
+  // Stops dropping connections.
+  auto keep_connection() -> void {
     plan_.drop = never;
   }
   bool linked = false;
 
  private:
+  // A publish without a final answer. `due` is the time of the next attempt.
   struct publish_in_flight {
     std::string topic, body;
     std::int64_t sequence;
@@ -72,12 +78,12 @@
   auto subscribe(const std::string& topic, std::int64_t position) -> void;
   auto drop_connections() -> task<void>;
 
-  auto publish_in_turn() -> task<void>;
+  auto publish_continuously() -> task<void>;
   auto send_due() -> void;
   auto publish_next(const std::string& topic) -> void;
   auto send_publish(publish_in_flight& publish) -> void;
 
-  auto take(const value& answer) -> void;
+  auto process(const value& answer) -> void;
   auto on_delivery(const value& answer) -> void;
   auto on_redirect(const value& answer) -> void;
   auto on_subscribe_answer(const value& answer) -> void;
@@ -92,10 +98,10 @@
   std::shared_ptr<json_lines> connection_;
   std::map<std::string, std::int64_t> positions_;  // by topic; -1: not subscribed before
   publish_map in_flight_;
-  std::vector<publish_in_flight> echoes_;  // accepted, to be sent again
+  std::vector<publish_in_flight> echoes_;  // accepted publishes to be sent again
   std::map<std::string, std::int64_t> sequences_;
-  monotonic_time reconnect_in_ = 0;
-  bool leave_connection_ = false, seeking_ = false;
+  monotonic_time reconnect_delay_ = 0;
+  bool abandon_connection_ = false, connecting_ = false;
   task_group tasks_;
 };
 
--- a/tools/simulator/capacity.cpp
+++ b/tools/simulator/capacity.cpp
@@ -137,7 +137,7 @@
       for (auto i = 0; i < 40 && !*ok; ++i)
         *ok = co_await k.put(n, body);
       if (*ok)
-        *ok = co_await k.await_held(n, 60 * second);
+        *ok = co_await k.await_in_force(n, 60 * second);
     });
     auto end = from + 120 * second;
     while (f.operating && f.network.clock < end)
--- a/tools/simulator/fleet.cpp
+++ b/tools/simulator/fleet.cpp
@@ -517,7 +517,7 @@
     for (auto i = 0; i < 40 && !*is_in_force; ++i)
       *is_in_force = co_await operations.put(1, body);
     if (*is_in_force)
-      *is_in_force = co_await operations.await_held(1, 60 * second);
+      *is_in_force = co_await operations.await_in_force(1, 60 * second);
   });
   auto deadline = network.clock + 60 * second;
   while (operating && network.clock < deadline)
--- a/tools/simulator/fleet_test.cpp
+++ b/tools/simulator/fleet_test.cpp
@@ -461,7 +461,7 @@
   cluster.operate([&cluster, body, outdated_gateway](operator_client& operations) -> task<void> {
     auto is_in_force = co_await operations.put(2, body);
     if (is_in_force)
-      is_in_force = co_await operations.await_held(2, cluster.outside->now() + 20 * second);
+      is_in_force = co_await operations.await_in_force(2, cluster.outside->now() + 20 * second);
     if (is_in_force)
       *outdated_gateway = cluster.gateway_with_older_configuration(2);
     cluster.network.stopped = true;
--- a/tools/simulator/operator_clients.cpp
+++ b/tools/simulator/operator_clients.cpp
@@ -133,7 +133,7 @@
 auto operator_clients::begin_drain(std::string client) -> task<void> {
   auto order = operator_order();
   order.client = client;
-  order.kind = order_kind::begin_leaving;
+  order.kind = order_kind::order_drain;
   order.object = draw_object();
   constexpr auto kinds = std::array{"evacuate", "evacuate", "drain", "retire"};
   order.content = zone_of_key(order.object).empty() ? kinds[random_below(kinds.size())] : "evacuate";
@@ -144,7 +144,7 @@
 auto operator_clients::withdraw_drain(std::string client) -> task<void> {
   auto order = operator_order();
   order.client = client;
-  order.kind = order_kind::withdraw_leaving;
+  order.kind = order_kind::withdraw_drain;
   order.object = draw_object();
   auto request = order_request{"POST", "/v1/stay", drain_request_body(order.object, "")};
   co_await send_until_answered(order, request);
@@ -168,7 +168,7 @@
 auto operator_clients::read_drains(std::string client, monotonic_time timeout) -> task<bool> {
   auto order = operator_order();
   order.client = client;
-  order.kind = order_kind::read_leaving;
+  order.kind = order_kind::read_drain;
   order.called = now_ms();
   auto request = order_request{"GET", "/v1/leave", ""};
   auto reply = co_await send_request(request, timeout);
--- a/tools/simulator/operator_orders.cpp
+++ b/tools/simulator/operator_orders.cpp
@@ -69,7 +69,7 @@
   auto has_majority = fleet_.shape.control_nodes >= least_voters_for_two_disks;
   if (is_newest && has_majority && fleet_.control_nodes_with(body) < 2)
     ++counts_["thin_configuration"];
-  auto is_in_force = co_await client.await_held(number, no_deadline);
+  auto is_in_force = co_await client.await_in_force(number, no_deadline);
   if (!is_in_force)
     co_return;
   ++counts_["held"];
@@ -150,7 +150,7 @@
     throw request_error(errc::invalid_scenario,
                         "'" + order + "' is not an order: expected read, configure, drain:NODE or retire:NODE");
   fleet_.operate([this, address, kind, node](operator_client& client) -> task<void> {
-    auto answer = co_await client.leave_once(address, node, kind);
+    auto answer = co_await client.drain_once(address, node, kind);
     ++counts_["order_" + answer];
   });
 }
