--- a/tools/simulator/capacity.cpp
+++ b/tools/simulator/capacity.cpp
@@ -138,7 +138,7 @@
       for (auto attempt = 0; attempt < 40 && !*succeeded; ++attempt)
         *succeeded = co_await operator_calls.put(number, body);
       if (*succeeded)
-        *succeeded = co_await operator_calls.await_held(number, 60 * second);
+        *succeeded = co_await operator_calls.await_in_force(number, 60 * second);
     });
     auto deadline = started_at + 120 * second;
     while (simulated.operating && simulated.network.clock < deadline)
