--- a/src/cluster/cluster_view.hpp
+++ b/src/cluster/cluster_view.hpp
@@ -96,8 +96,8 @@
   [[nodiscard]] auto is_draining(const node_descriptor& node) const -> bool {
     return node.stopping || drains.count(node.name) > 0 || is_evacuated(node.zone);
   }
-  // Returns the addresses of the storage nodes in third zones. They may reach `address` when a node in `zone` cannot.
-  // Empty if `address` is in `zone` itself.
+  // Returns the addresses of the storage nodes that are neither in `zone` nor in the zone of `address`. These nodes may
+  // reach `address` when a node in `zone` cannot. The result is empty if `address` is in `zone` itself.
   [[nodiscard]] auto relays(const std::string& zone, const std::string& address) const -> std::vector<std::string>;
   // Encodes the view for the status page and for statediff, which compares the views of nodes.
   [[nodiscard]] auto encode_known_state() const -> value;
--- a/src/control/control_node.hpp
+++ b/src/control/control_node.hpp
@@ -71,7 +71,8 @@
   auto wait_for_changes(const session_request& request, monotonic_time received_at) -> task<session_updates>;
   // Waits a little longer if more changes of the found kind are likely to follow, so that one reply contains them all.
   auto coalesce_changes(const std::string& name, const session_updates& found) -> task<void>;
-  // Returns the updates that the node lacks now. `include_unneeded` adds versions without a change that the node needs.
+  // Returns the updates that the node lacks now. If `include_unneeded` is set, the updates also report new versions
+  // that contain no change that the node needs.
   [[nodiscard]] auto collect_updates(const session_request& request, bool include_unneeded) const -> session_updates;
   // Records in the node's session, if it still exists, when these updates were sent.
   auto record_sent(const std::string& name, const session_updates& updates) -> void;
--- a/src/raft/membership.cpp
+++ b/src/raft/membership.cpp
@@ -79,8 +79,9 @@
 
 // Appends a new membership and waits until it is committed and no longer joint. After adding or removing a single
 // voter, every majority of the new list overlaps every majority of the old list. A replacement adds one voter and
-// removes another, so it uses a joint membership: the old voter leaves only when the new voter is in, and no
-// intermediate list has an additional voter, which could be lost as well.
+// removes another, so it uses a joint membership: the old voter leaves only when the new voter is in. Adding the new
+// voter first and removing the old one later would lengthen the list in between, and the additional voter could be lost
+// as well.
 auto consensus::change_voters(std::vector<voter> new_voters, monotonic_time deadline) -> task<void> {
   if (!leadership_established() || transferring_)
     throw retryable_error(errc::busy,
--- a/src/rpc/peer_connection.hpp
+++ b/src/rpc/peer_connection.hpp
@@ -107,7 +107,7 @@
   monotonic_time last_contact_ = 0;
   monotonic_time refused_at_ = -never;
   int attempts_ = 0;                // since a connection was last up; odd attempts go through a relay if there is one
-  bool closed_by_peer_ = false;     // the peer closed the last connection that was up and may have ended
+  bool closed_by_peer_ = false;     // the peer closed the last connection that was up; its process may have ended
   monotonic_time reconnect_delay_;  // before the next attempt; doubled each time up to the failure timeout
   call_id last_call_id_ = 0;
   std::map<call_id, std::shared_ptr<pending_call>> pending_calls_;
--- a/src/runtime/event_loop.hpp
+++ b/src/runtime/event_loop.hpp
@@ -1,8 +1,8 @@
 // The event loop with its clock, timers and ready list, and the awaitables that suspend a coroutine (design 3.1).
 //
-// A coroutine waits with `co_await sleep_for(…)`, `co_await sleep_until(…)` or `co_await some_signal.wait(…)`. Only the
-// loop resumes a waiting coroutine, never another coroutine. All of this module may be used only on the thread of the
-// loop.
+// A coroutine waits with `co_await sleep_for(…)`, `co_await sleep_until(…)` or `co_await some_signal.wait(…)`. The loop
+// resumes every waiting coroutine; a coroutine never resumes a waiting coroutine directly. This module may be used only
+// on the thread of the loop.
 #pragma once
 #include <boost/intrusive/list.hpp>
 #include <coroutine>
--- a/src/storage/partition.hpp
+++ b/src/storage/partition.hpp
@@ -35,10 +35,10 @@
   std::function<bool()> is_leaving;  // whether this storage node is shutting down
 };
 
-// A replica is idle, a backup or the primary. All its tasks run on the storage node's event loop, so its members change
-// only at awaits. The replicated log of the control nodes decides which replica is the primary: a replica proposes a
-// change of roles there by compare-and-set of the epoch. A replica never acts on an epoch below the highest that it
-// knows.
+// A replica is idle, a backup or the primary. All its tasks run on the storage node's event loop, so no other task
+// changes a member between two awaits of a task. The replicated log of the control nodes decides which replica is the
+// primary: a replica proposes a change of roles there by compare-and-set of the epoch. A replica never acts on an epoch
+// below the highest that it knows.
 //
 // The member functions are defined in: partition.cpp (disk, flush, status), partition_requests.cpp (client requests),
 // partition_replication.cpp (the primary's side of replication), partition_backup.cpp (the backup's side),
@@ -65,13 +65,14 @@
   auto on_state_chunk(state_chunk chunk) -> task<void>;
   auto on_append(const connection_ptr& from, append_message message) -> void;
   auto on_acknowledgement(const replica_acknowledgement& message) -> void;
-  // The primary of this epoch still replays its log before it goes live.
+  // The primary of this epoch has announced that it is still replaying its log and is not live yet.
   auto on_replay_announcement(partition_epoch epoch) -> void;
 
   // Events on connections and processes that the storage node reports (design 6.5).
   // Returns whether `closed` was the connection from the primary that this backup follows, and drops that connection.
   auto drop_primary_connection(const connection_ptr& closed) -> bool;
-  // The storage process of this node is known to have terminated.
+  // The process of the storage node `node` is known to have terminated. If that node is the primary that this backup
+  // follows and their connection is closed, this replica checks at once whether to claim the partition.
   auto on_primary_process_gone(const std::string& node) -> void;
   // A connection to a replica was opened or closed.
   auto on_replica_connection_changed() -> void {
@@ -122,9 +123,11 @@
   };
   // The destination of the deliveries of one subscription.
   struct subscriber {
-    connection_ptr connection;     // to the gateway
-    message_position first_index;  // of the subscribe entry: outputs of earlier entries are not sent to this connection
-    std::int64_t opening;          // counted by the gateway; a retry of a subscribe request has the same number
+    connection_ptr connection;  // to the gateway
+    // The log index of the subscribe entry. Outputs of earlier entries are not sent to this connection: the outputs of
+    // the subscribe entry already include the retained messages that a resumed subscription lacks.
+    message_position first_index;
+    std::int64_t opening;  // counted by the gateway; a retry of a subscribe request has the same number
   };
   // A reply to a read, a count or a duplicate publish that waits for replication.
   struct deferred_reply {
--- a/src/storage/partition_state.hpp
+++ b/src/storage/partition_state.hpp
@@ -113,8 +113,8 @@
   std::int64_t retention_ms = 0;   // the pool's retention; 0: messages are kept only for the resend window
   std::int64_t resend_ms = 10000;  // the resend window: the time in which a client may resend a publish
   std::int64_t configuration_version = 0;
-  // The position at which the partition was recreated, or 0. Nothing is known of positions up to this one
-  // (design 6.10).
+  // The position at which the partition was recreated, or 0. The state has no information about positions up to this
+  // one (design 6.10).
   message_position recreated_at_position = 0;
   std::map<std::string, topic_state> topics;
   std::map<std::string, subscription_state> subscriptions;                         // by subscription id
--- a/src/storage/storage_node.cpp
+++ b/src/storage/storage_node.cpp
@@ -20,8 +20,8 @@
     try {
       std::rethrow_exception(error);
     } catch (const std::exception& caught) {
-      reachridge::log(log_level::error, settings_.name, std::string("task ended: ") + caught.what());
-      dump_log("a task ended");
+      reachridge::log(log_level::error, settings_.name, std::string("background task failed: ") + caught.what());
+      dump_log("a background task failed");
     }
   };
   session.self.kind = node_kind;
--- a/tools/local_cluster/main.cpp
+++ b/tools/local_cluster/main.cpp
@@ -84,7 +84,7 @@
   }
 };
 
-// Returns a quantile in milliseconds, 0 without values.
+// Returns a quantile in milliseconds, or 0 if there are no values.
 auto quantile(std::vector<monotonic_time> values, double fraction) -> double {
   if (values.empty())
     return 0;
@@ -500,7 +500,7 @@
     return violations.empty();
   }
 
-  // A fault with the time of its begin and of its end.
+  // A fault with the times of its start and its end.
   struct fault {
     std::string description;
     monotonic_time at = 0, ended_at = 0;
--- a/tools/simulator/fleet.hpp
+++ b/tools/simulator/fleet.hpp
@@ -69,7 +69,7 @@
   // Returns whether all committed data survives the loss of this disk: each partition has two in-sync replicas on disk,
   // and each voter has its own disk.
   [[nodiscard]] auto survives_disk_loss(const std::string& name) const -> bool;
-  // Returns whether all retained messages survive the simultaneous loss of this many disks: each partition with
+  // Returns whether all retained messages survive the simultaneous loss of any `losses` disks: each partition with
   // retention has more in-sync replicas on disk.
   [[nodiscard]] auto survives_disk_losses(std::int64_t losses) const -> bool;
   // Returns the nodes with in-sync replicas of a partition, starting with the primary's node.
--- a/tools/simulator/fleet_test.cpp
+++ b/tools/simulator/fleet_test.cpp
@@ -32,8 +32,8 @@
 }
 }  // namespace
 TEST_GROUP(protections){};
-// Requests a vote as a candidate with a complete log. Returns 1 if the vote is granted, 0 if refused, -1 without a
-// reply. `ignores_leader` requests the vote although the voter may have a live leader.
+// Requests a vote as a candidate with a complete log. Returns 1 if the vote is granted, 0 if the vote is refused, and
+// -1 if the voter does not reply. With `ignores_leader`, the voter is to vote even if it has a live leader.
 namespace {
 auto request_vote(fleet& cluster, const std::string& voter, const std::string& candidate_address, bool ignores_leader)
     -> int {
@@ -77,8 +77,8 @@
   LONGS_EQUAL(0, request_vote(cluster, voter, "10.7.7.2:1", true));
   LONGS_EQUAL(1, request_vote(cluster, voter, "10.7.7.1:1", true));
 }
-// A restarted voter must not vote until the quiet period of a promise that it may have made to the leader has passed,
-// because leases depend on that promise.
+// Before its restart, a voter may have promised the leader not to vote for another candidate during the quiet period.
+// Leases depend on that promise, so the restarted voter must not vote before a quiet period has passed.
 TEST(protections, a_restarted_voter_does_not_vote_during_the_quiet_period) {
   auto cluster = fleet(25, shape_without_clients());
   CHECK(cluster.begin());
