--- a/src/cluster/codec.cpp
+++ b/src/cluster/codec.cpp
@@ -1,4 +1,4 @@
-// The types of types.hpp as values, and back. No other file knows the names of their fields.
+// Encodes and decodes the types of types.hpp. Their field names appear in no other file.
 #include "cluster/types.hpp"
 
 namespace reachridge {
@@ -7,7 +7,7 @@
   auto replicas = array();
   for (const auto& member : in_sync_replicas)
     replicas.emplace_back(member);
-  // "back" is for readers: the set in "step" says it all.
+  // "back" is informational and never decoded: "step" holds the complete in-sync set.
   auto others = backups();
   auto first_backup = others.empty() ? std::string() : others.front();
   return object{{"epoch", epoch},   {"root", recreated_epoch},      {"prim", primary}, {"back", first_backup},
@@ -42,7 +42,7 @@
   for (auto kind : {drain_kind::drain, drain_kind::evacuate, drain_kind::retire})
     if (to_string(kind) == text)
       return kind;
-  throw decode_error("no kind of a drain: " + std::string(text));
+  throw decode_error("unknown kind of drain: " + std::string(text));
 }
 
 auto drain::to_value() const -> value {
--- a/src/configuration/repeated_keys.cpp
+++ b/src/configuration/repeated_keys.cpp
@@ -5,7 +5,7 @@
 namespace reachridge {
 namespace {
 
-// Handler of a streaming parser that counts the keys of all objects in a text, repeated ones too.
+// Handler of a Boost.JSON streaming parser. Counts the keys of all objects in a text, including repeated ones.
 struct key_counter {
   static constexpr auto max_object_size = std::size_t(-1);
   static constexpr auto max_array_size = std::size_t(-1);
@@ -88,7 +88,7 @@
 
 }  // namespace
 
-auto repeats_keys(const std::string& body, const value& parsed) -> bool {
+auto has_repeated_keys(const std::string& body, const value& parsed) -> bool {
   auto parser = boost::json::basic_parser<key_counter>(boost::json::parse_options());
   auto error = boost::json::error_code();
   parser.write_some(false, body.data(), body.size(), error);
--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -1,3 +1,4 @@
+// Validates committed commands and applies them to the replicated state.
 #include "control/control_state.hpp"
 
 #include <algorithm>
@@ -8,7 +9,7 @@
 namespace reachridge {
 namespace {
 
-constexpr auto least_zones = std::int64_t{2};  // that the replicas of a partition are spread over
+constexpr auto min_zones = std::int64_t{2};  // minimum number of zones for the replicas of a partition
 
 auto version_error(errc code, const std::string& message, std::int64_t newest) -> request_error {
   return {code, message, execution_outcome::not_executed, -1, object{{"newest", newest}}};
@@ -26,31 +27,31 @@
 auto control_state::partitions_of(const std::string& node) const -> std::vector<std::string> {
   auto out = std::vector<std::string>();
   for (const auto& [id, assignment] : partitions) {
-    auto holds_replica = node_of_member(assignment.primary) == node || assignment.is_in_sync_on(node);
+    auto holds_replica = node_of_member(assignment.primary) == node || assignment.has_in_sync_replica_on(node);
     if (holds_replica)
       out.push_back(id);
   }
   return out;
 }
 
-auto control_state::why_too_few(const node_zones& nodes, std::int64_t replicas) const -> std::string {
+auto control_state::insufficient_nodes_reason(const node_zones& nodes, std::int64_t replicas) const -> std::string {
   auto known_zones = std::set<std::string>();
   auto count = std::int64_t{0};
-  auto out_of_reach = std::int64_t{0};
+  auto unreachable_count = std::int64_t{0};
   for (const auto& [node, zone] : nodes) {
     if (drains.count(node))
       continue;
     ++count;
     if (zone.empty())
-      ++out_of_reach;
+      ++unreachable_count;
     else
       known_zones.insert(zone);
   }
   if (count < replicas)
-    return std::to_string(count) + " combs would be left, " + std::to_string(replicas) + " are needed";
-  auto zones_at_most = static_cast<std::int64_t>(known_zones.size()) + out_of_reach;
-  if (zones_at_most < least_zones)
-    return "the combs that would be left stand in one locality";
+    return std::to_string(count) + " storage nodes would remain, but " + std::to_string(replicas) + " are required";
+  auto max_zone_count = static_cast<std::int64_t>(known_zones.size()) + unreachable_count;
+  if (max_zone_count < min_zones)
+    return "the remaining storage nodes are all in one zone";
   return {};
 }
 
@@ -76,14 +77,16 @@
   }
 }
 
-// By compare-and-set on the number: a repeat changes nothing, what is not newer is refused.
+// Compare-and-set on the configuration number: a repeated configuration changes nothing, an older one is refused.
 auto control_state::apply_command(log_index index, const configuration_command& command) -> command_result {
   const auto& next = command.configuration;
   if (configuration && next->number == configuration->number) {
     if (next->same_content(*configuration))
-      return command_accepted{.configuration_number = next->number, .repeated = true};
-    throw version_error(errc::version_taken,
-                        "number " + std::to_string(next->number) + " is already used with other content", next->number);
+      return command_accepted{.configuration_number = next->number, .is_repeat = true};
+    throw version_error(
+        errc::version_taken,
+        "configuration number " + std::to_string(next->number) + " is already used with different content",
+        next->number);
   }
   check_number(*next);
   check_partition_counts(*next);
@@ -96,12 +99,14 @@
   auto newest = configuration ? configuration->number : 0;
   if (next.number < newest)
     throw version_error(errc::stale_version,
-                        "number " + std::to_string(next.number) + " is below the newest, " + std::to_string(newest),
+                        "configuration number " + std::to_string(next.number) + " is lower than the newest number " +
+                            std::to_string(newest),
                         newest);
   if (next.after >= 0 && next.after != newest)
-    throw version_error(
-        errc::stale_version,
-        "it is meant to follow " + std::to_string(next.after) + ", the newest is " + std::to_string(newest), newest);
+    throw version_error(errc::stale_version,
+                        "the configuration must follow number " + std::to_string(next.after) +
+                            ", but the newest number is " + std::to_string(newest),
+                        newest);
 }
 
 auto control_state::check_partition_counts(const configuration_record& next) const -> void {
@@ -109,8 +114,8 @@
     auto fixed = fixed_partition_count(name);
     if (!fixed || *fixed == pool.partitions)
       continue;
-    throw request_error(errc::invalid_configuration,
-                        "spaces: '" + name + "' has " + std::to_string(*fixed) + " cells, which cannot change");
+    throw request_error(errc::invalid_configuration, "spaces: '" + name + "' has " + std::to_string(*fixed) +
+                                                         " partitions and this number cannot change");
   }
 }
 
@@ -131,7 +136,7 @@
 auto control_state::apply_command(log_index index, const assignment_command& command) -> command_result {
   auto& current = partitions[command.partition];
   auto next = command.assignment;
-  if (auto reason = why_not_assign(current, next); !reason.empty())
+  if (auto reason = assignment_rejection_reason(current, next); !reason.empty())
     return command_superseded{reason, current};
   next.epoch = current.epoch + 1;
   next.recreated_epoch = current.recreated_epoch;
@@ -141,23 +146,23 @@
   return command_accepted{.assignment = current};
 }
 
-auto control_state::why_not_assign(const partition_assignment& current, const partition_assignment& next) const
-    -> std::string {
+auto control_state::assignment_rejection_reason(const partition_assignment& current,
+                                                const partition_assignment& next) const -> std::string {
   if (current.epoch != next.epoch)
-    return "another epoch stands";
+    return "the partition has another epoch";
   if (next.primary.empty() || !next.is_in_sync(next.primary))
-    return "a primary must be in step";
+    return "the primary must be in sync";
   if (!on_different_nodes(next.in_sync_replicas))
-    return "copies want different nodes";
+    return "the replicas must be on different nodes";
   if (current.epoch > 0 && !current.is_in_sync(next.primary))
-    return "only a node in step may hold the cell";
-  // A retired node gets nothing again, also by a move that was under way when it was found empty.
+    return "only an in-sync replica may become the primary";
+  // A retired node never receives a replica again, not even from a move that was in progress when its drain completed.
   auto on_retired_node =
       std::any_of(next.in_sync_replicas.begin(), next.in_sync_replicas.end(), [&](const auto& member) {
         return is_retired(node_of_member(member));
       });
   if (on_retired_node)
-    return "a retired node holds nothing";
+    return "a retired node must not hold a replica";
   return {};
 }
 
@@ -166,18 +171,20 @@
   return it != drains.end() && it->second.kind == drain_kind::retire && it->second.completed;
 }
 
-// Where messages are kept, only an operator may give them up.
+// Only an operator may accept the loss of retained messages.
 auto control_state::apply_command(log_index index, const recreation_command& command) -> command_result {
   const auto& id = command.partition;
   auto it = partitions.find(id);
   if (it == partitions.end())
-    throw request_error(errc::not_found, "no cell " + id);
+    throw request_error(errc::not_found, "unknown partition " + id);
   auto& current = it->second;
   auto next = command.assignment;
   if (current.epoch != next.epoch)
-    return command_superseded{"another epoch stands", current};
-  if (keeps_messages(id) && !command.forsakes_messages)
-    throw request_error(errc::permission_denied, id + " is of a kept space: founding it again forsakes what it kept");
+    return command_superseded{"the partition has another epoch", current};
+  if (keeps_messages(id) && !command.accepts_message_loss)
+    throw request_error(
+        errc::permission_denied,
+        id + " belongs to a space that retains messages: recreating the partition loses the retained messages");
   next.epoch = current.epoch + 1;
   next.recreated_epoch = next.epoch;
   next.committed_index = index;
@@ -186,7 +193,7 @@
   return command_accepted{.assignment = current};
 }
 
-// A partition whose pool is not known may keep messages.
+// A partition of an unknown pool is assumed to retain messages.
 auto control_state::keeps_messages(const std::string& partition) const -> bool {
   if (!configuration)
     return true;
@@ -196,19 +203,19 @@
 
 auto control_state::apply_command(log_index index, const begin_drain_command& command) -> command_result {
   const auto& name = command.name;
-  drain_fence.admit(name, command.decided_at, index);
+  drain_fence.check_and_record(name, command.expected_last_order, index);
   if (!zone_of_key(name).empty() && command.kind != drain_kind::evacuate)
-    throw request_error(errc::malformed, "a zone can only be evacuated");
+    throw request_error(errc::malformed, "a zone can be evacuated but not drained or retired");
   if (auto it = drains.find(name); it != drains.end()) {
     const auto& current = it->second;
     if (current.kind == command.kind)
-      return command_accepted{.repeated = true, .drain_completed = current.completed};
+      return command_accepted{.is_repeat = true, .drain_completed = current.completed};
     if (current.kind == drain_kind::retire)
-      throw request_error(errc::version_taken, name + " is being retired already");
+      throw request_error(errc::version_taken, name + " is already being retired");
   }
-  // It was checked where the order was decided; two retirements may have been decided at the same time.
-  if (command.remaining) {
-    auto reason = why_too_few(*command.remaining, command.replicas);
+  // The leader has checked this when it decided the order, but two retirements may have been decided concurrently.
+  if (command.remaining_nodes) {
+    auto reason = insufficient_nodes_reason(*command.remaining_nodes, command.replicas);
     if (!reason.empty())
       throw request_error(errc::too_few_nodes, reason);
   }
@@ -218,30 +225,30 @@
 }
 
 auto control_state::apply_command(log_index index, const end_drain_command& command) -> command_result {
-  drain_fence.admit(command.name, command.decided_at, index);
+  drain_fence.check_and_record(command.name, command.expected_last_order, index);
   auto it = drains.find(command.name);
   if (it == drains.end())
-    return command_accepted{.repeated = true};
+    return command_accepted{.is_repeat = true};
   if (is_retired(command.name))
-    throw request_error(errc::version_taken, command.name + " is retired");
+    throw request_error(errc::version_taken, command.name + " has been retired");
   drains.erase(it);
   partitions_version = index;
   return command_accepted{};
 }
 
 auto control_state::apply_command(log_index index, const decline_drain_command& command) -> command_result {
-  drain_fence.admit(command.name, command.decided_at, index);
+  drain_fence.check_and_record(command.name, command.expected_last_order, index);
   return command_accepted{};
 }
 
 auto control_state::apply_command(log_index index, const complete_drain_command& command) -> command_result {
   const auto& name = command.name;
   auto it = drains.find(name);
-  auto node_drains = it != drains.end() && zone_of_key(name).empty();
-  if (!node_drains)
-    throw request_error(errc::not_found, name + " is not leaving");
+  auto is_draining_node = it != drains.end() && zone_of_key(name).empty();
+  if (!is_draining_node)
+    throw request_error(errc::not_found, name + " is not a draining node");
   if (!partitions_of(name).empty())
-    return command_superseded{"cells are left there"};
+    return command_superseded{"the node still holds partitions"};
   it->second.completed = true;
   partitions_version = index;
   return command_accepted{};
--- a/src/raft/follower_progress.cpp
+++ b/src/raft/follower_progress.cpp
@@ -1,21 +1,22 @@
+// Bookkeeping for replies of one follower; see follower_progress.hpp.
 #include "raft/follower_progress.hpp"
 
 #include <algorithm>
 
 namespace reachridge {
 
-auto follower_progress::note_answer(const voter& follower, const disk_identifier& answering_disk,
-                                    monotonic_time sent_at) -> bool {
-  other_disk = answering_disk != follower.disk_id;
-  if (other_disk)
+auto follower_progress::record_contact(const voter& follower, const disk_identifier& answering_disk,
+                                       monotonic_time sent_at) -> bool {
+  different_disk_answered = answering_disk != follower.disk_id;
+  if (different_disk_answered)
     return false;
   last_contact = std::max(last_contact, sent_at);
   return true;
 }
 
-auto follower_progress::take_append_reply(const voter& follower, const append_reply& reply, log_index last_index,
-                                          monotonic_time sent_at) -> bool {
-  if (!note_answer(follower, reply.disk_id, sent_at))
+auto follower_progress::handle_append_reply(const voter& follower, const append_reply& reply, log_index last_index,
+                                            monotonic_time sent_at) -> bool {
+  if (!record_contact(follower, reply.disk_id, sent_at))
     return false;
   if (reply.success) {
     auto match = std::min(reply.match_index, last_index);
@@ -28,9 +29,9 @@
   return true;
 }
 
-auto follower_progress::take_snapshot_reply(const voter& follower, const snapshot_reply& reply, monotonic_time sent_at)
-    -> bool {
-  return note_answer(follower, reply.disk_id, sent_at);
+auto follower_progress::handle_snapshot_reply(const voter& follower, const snapshot_reply& reply,
+                                              monotonic_time sent_at) -> bool {
+  return record_contact(follower, reply.disk_id, sent_at);
 }
 
 auto follower_progress::advance_transfer(const snapshot_image& image, const snapshot_reply& reply) -> void {
@@ -43,11 +44,11 @@
   transfer.reset();
 }
 
-auto follower_progress::adapt_window(monotonic_time took, monotonic_time election_timeout, std::size_t least_window)
-    -> void {
-  if (took > election_timeout * 3 / 4)
-    window = std::max(window / 2, least_window);
-  else if (took < election_timeout / 2)
+auto follower_progress::adapt_window(monotonic_time response_time, monotonic_time election_timeout,
+                                     std::size_t min_window_bytes) -> void {
+  if (response_time > election_timeout * 3 / 4)
+    window = std::max(window / 2, min_window_bytes);
+  else if (response_time < election_timeout / 2)
     window = std::min(window * 2, max_window_bytes);
 }
 
--- a/src/storage/disk_identity.cpp
+++ b/src/storage/disk_identity.cpp
@@ -1,4 +1,4 @@
-// The identity of a storage node's disk; see disk_identity.hpp.
+// The id of a storage node's disk; see disk_identity.hpp.
 #include "storage/disk_identity.hpp"
 
 #include <cstdint>
@@ -21,11 +21,11 @@
 }
 
 auto has_records(store& disk) -> bool {
-  auto any = false;
+  auto found = false;
   disk.scan("", [&](const std::string&, const std::string&) {
-    any = true;
+    found = true;
   });
-  return any;
+  return found;
 }
 
 }  // namespace
@@ -35,7 +35,7 @@
   if (auto record = disk.get(disk_key))
     return read_disk_id(*record);
   if (has_records(disk))
-    throw request_error(errc::damaged, "the data folder holds records but lacks its name: foreign or damaged");
+    throw request_error(errc::damaged, "the data folder contains records but no disk id: foreign or damaged");
   char id[20];
   std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(host.random()));
   disk.put(disk_key, encode_with_checksum(object{{"format", disk_format}, {"id", id}}));
